--- a/balance/balance.go
+++ b/balance/balance.go
@@ -18,350 +18,350 @@
 
 const (
 	pointsPerHost = 100   // places on the cycle of a host of usual size; evens shares out to about a tenth
-	overMean      = 1.5   // 1+ε, the talk's example factor
-	floorCount    = 2     // pushes; below this a host is never full
-	sweepEvery    = 100.0 // ms between two looks at all hosts: little beside warming, rests and idle times
-	tick          = 10.0  // ms, the timer's period while ops are held, and part of each margin
-
-	latStep  = 0.05 // weight of a new latency in a category's average, or of an end in a strand's: about 20 ops
-	hostStep = 0.2  // weight of a new outcome in a host's or their gate's averages: about 5 ops
-
-	crowdGroup  = 3.0    // balancers at which twice the usual latency counts twice; more see less each
-	refusedSlow = 4.0    // what a push turned away counts as, in usual latencies: a full host is a crowded one
-	crowdPart   = 2.0    // to one, how a slow host's excess becomes the part of its keys that it loses
-	busyAll     = 0.85   // part of their cores' time that all hosts say is taken where there is no room
-	refusedFrom = 0.25   // part turned away of pushes that walked on where ops make way; at twice that all
-	crowdSlack  = 0.25   // usual latencies above those of all hosts that chance explains
-	failFrom    = 0.25   // smoothed failures above which a host is suspect: one fresh failure does it
-	failStep    = 0.3    // weight of a fresh failure, just over failFrom
-	restFirst   = 250.0  // ms off the walk after a first failure, about what a short stall lasts
-	restLongest = 4000.0 // ms; a healed host is tried again no later than this
-	restCost    = 20.0   // times what a failed connect took that a host rests at most
-	tryShare    = 0.01   // ops, for each that comes, that may find a suspect host still bad: many others try it
-	mostAtOnce  = 3.0    // of these that may do so together; of second copies, too
-	restShare   = 0.8    // part of the hosts that may rest at once; beyond it the evidence is in doubt
-
-	carefulFor = 60000.0 // ms after a host in use went down without a floor to the bound: a wave of restarts
-	fellLately = 15000.0 // ms since its last answer in which a host counts as in use: lists are so late
-
-	secondLook    = 1.0 // first waits more after which a push that was left is called off all the same
-	farSlack      = 0.1 // by how much more the own zone's hosts have to be busy for keys to leave it
-	busyNearLeast = 0.6 // and so busy at the least: below, they have room
-
-	poolStep = 0.1  // part of the keys that a late fetch puts there, or a full table takes off
-	poolFall = 0.01 // part of these that an answer takes back
-
-	copyDevs  = 3.0 // mean deviations above the usual latency at which a second copy is sent
-	copyLook  = 0.5 // first waits more after which it is where the host answers others: the op may be heavy
-	copyShare = 0.1 // second copies an op: more would be much of a slow fleet's load
-
-	strandOff  = 0.4 // by how much more of its ops than of all has to come to nothing for it to be held apart
-	strandPart = 0.1 // part of what the hosts' gate lets out, or of reply slots, that it may have then
-
-	agreeMost = 0.8 // smoothed part of errors that a second host repeats above which one host's word is enough
-	agreeTry  = 0.1 // part of ops that are put to a second host all the same, so that it is seen when that ends
-
-	cells      = 1024   // of counts of ops by key: few of an instance's keys share one
-	spreadBusy = 0.9    // part of its cores' time that a busy key's host may have taken, where hosts tell
-	heatHalf   = 5000.0 // ms between two halvings of these counts: a busy key lasts for some seconds
-
-	patienceDevs  = 5.0  // mean deviations above the usual latency at which a push is looked at
-	hushPart      = 0.1  // of its target for which a push is left where all hosts are as silent
-	patienceLeast = 0.02 // of its target: a call-off costs a connection, and gains nothing where there is time
-
-	ownGoal  = 0.2        // of the shortest target for which input may wait: answers may have to wait as long
-	ownLeast = 1.0 / 16   // part of that below which one wait is like another
-	ownStep  = 2.0        // factor, the most by which the part of ops taken changes at once
-	ownFloor = 1.0 / 1024 // least part of the ops that are taken
-
-	gateGoal     = 0.5     // smoothed latency over target above which a gate narrows: most answers just in time
-	originGoal   = 0.3     // the same for the origin, whose latency comes on top of a miss
-	gateCut      = 0.85    // factor of one narrowing
-	originStep   = 0.1     // weight of a new latency of the origin, or of a report in its zone's: 10 answers
-	fewStep      = 0.5     // the same at a gate that turns ops away by chance: two answers tell
-	fullCut      = 0.5     // factor of one narrowing while the origin answers nobody for a target
-	fullPain     = 2.0     // targets that a fetch counts as having waited then: it is told by few outcomes
-	gatePause    = 100.0   // ms between two narrowings, so that the first can show
-	chancePain   = 0.5     // smoothed latency over target above which a gate turns ops away by chance
-	chanceSpan   = 14000.0 // ms in which it lets out all again by itself
-	fleetFloor   = 2.0     // pushes a host, of all balancers, that the hosts' gate lets out at least
-	fleetStart   = 16.0    // pushes a host, of all balancers, that the hosts' gate starts with
-	originStart  = 1.5     // fetches a host, of all balancers, that the origin's gate starts with
-	originOwn    = 4.0     // fetches that the origin's gate starts with at the least: own ops tell of no other's
-	originSilent = 200.0   // ms, a fetch's time, without an outcome: the origin's gate opens by itself
-	originFloor  = 2.0     // fetches, of all balancers, that it lets out at least
-
-	coldSafety = 0.5    // part of the tipping load that all may send a cold host in a span; two can touch
-	rateSpan   = 2000.0 // ms over which the usual rate of pushes is averaged
-
-	keepCut  = 0.8 // factor of the time idle connections are kept, when one cannot be made
-	keepGrow = 1.2 // the same when one is made: four in ten may fail, for a handshake costs more
-
-	shutFirst   = 1000.0 // ms in which no new connection is tried to a host whose table of them was full
-	shutLongest = 8000.0 // ms, the longest such wait: places come free as others hang up
-
-	askFirst  = 500.0  // ms until a failed list call is repeated, spread by as much again; then twice that
-	askAnswer = 3000.0 // ms after which an unanswered call counts as failed: it takes its turn, a second or so
-	askSpan   = 4500.0 // ms from a failed call to the next: changes count as told after 6 s, 1.5 for an answer
-
-	settleTicks = 2.0 // quanta before its TTL at which an op is settled, beside one tick
-	shareLeast  = 8.0 // ops that a tenant may be ahead of its part of those acked: chance sends some together
+	boundFactor   = 1.5   // 1+ε, the talk's example factor
+	boundFloor    = 2     // pushes; below this a host is never full
+	sweepInterval = 100.0 // ms between two looks at all hosts: little beside warming, rests and idle times
+	tickInterval  = 10.0  // ms, the timer's period while ops are held, and part of each margin
+
+	slowEWMAWeight = 0.05 // weight of a new latency in a category's average, or of an end in a strand's: about 20 ops
+	fastEWMAWeight = 0.2  // weight of a new outcome in a host's or their gate's averages: about 5 ops
+
+	smallGroupSize       = 3.0    // balancers at which twice the usual latency counts twice; more see less each
+	overloadedSlowdown   = 4.0    // what a push turned away counts as, in usual latencies: a full host is a crowded one
+	slowdownGain         = 2.0    // to one, how a slow host's excess becomes the part of its keys that it loses
+	fleetBusyThreshold   = 0.85   // part of their cores' time that all hosts say is taken where there is no room
+	overloadedThreshold  = 0.25   // part turned away of pushes that walked on where ops make way; at twice that all
+	slowdownSlack        = 0.25   // usual latencies above those of all hosts that chance explains
+	suspectThreshold     = 0.25   // smoothed failures above which a host is suspect: one fresh failure does it
+	failureWeight        = 0.3    // weight of a fresh failure, just over failFrom
+	baseEjectTime        = 250.0  // ms off the walk after a first failure, about what a short stall lasts
+	maxEjectTime         = 4000.0 // ms; a healed host is tried again no later than this
+	ejectConnectMultiple = 20.0   // times what a failed connect took that a host rests at most
+	probesPerOp          = 0.01   // ops, for each that comes, that may find a suspect host still bad: many others try it
+	maxTokens            = 3.0    // of these that may do so together; of second copies, too
+	maxEjectedShare      = 0.8    // part of the hosts that may rest at once; beyond it the evidence is in doubt
+
+	noFloorTime = 60000.0 // ms after a host in use went down without a floor to the bound: a wave of restarts
+	inUseTime   = 15000.0 // ms since its last answer in which a host counts as in use: lists are so late
+
+	recheckFactor  = 1.0 // first waits more after which a push that was left is called off all the same
+	zoneBusyMargin = 0.1 // by how much more the own zone's hosts have to be busy for keys to leave it
+	zoneBusyMin    = 0.6 // and so busy at the least: below, they have room
+
+	crossZoneStep  = 0.1  // part of the keys that a late fetch puts there, or a full table takes off
+	crossZoneDecay = 0.01 // part of these that an answer takes back
+
+	hedgeDevs          = 3.0 // mean deviations above the usual latency at which a second copy is sent
+	hedgeRecheckFactor = 0.5 // first waits more after which it is where the host answers others: the op may be heavy
+	hedgesPerOp        = 0.1 // second copies an op: more would be much of a slow fleet's load
+
+	flowFailMargin   = 0.4 // by how much more of its ops than of all has to come to nothing for it to be held apart
+	failingFlowShare = 0.1 // part of what the hosts' gate lets out, or of reply slots, that it may have then
+
+	errorRepeatThreshold = 0.8 // smoothed part of errors that a second host repeats above which one host's word is enough
+	errorRetryShare      = 0.1 // part of ops that are put to a second host all the same, so that it is seen when that ends
+
+	keyBuckets       = 1024   // of counts of ops by key: few of an instance's keys share one
+	hotKeyBusyLimit  = 0.9    // part of its cores' time that a busy key's host may have taken, where hosts tell
+	keyCountHalfLife = 5000.0 // ms between two halvings of these counts: a busy key lasts for some seconds
+
+	checkDelayDevs     = 5.0  // mean deviations above the usual latency at which a push is looked at
+	fleetSilenceShare  = 0.1  // of its target for which a push is left where all hosts are as silent
+	minCheckDelayShare = 0.02 // of its target: a call-off costs a connection, and gains nothing where there is time
+
+	inputWaitShare    = 0.2        // of the shortest target for which input may wait: answers may have to wait as long
+	minInputWaitShare = 1.0 / 16   // part of that below which one wait is like another
+	maxAdmitFactor    = 2.0        // factor, the most by which the part of ops taken changes at once
+	minAdmitShare     = 1.0 / 1024 // least part of the ops that are taken
+
+	fleetCongestionGoal   = 0.5     // smoothed latency over target above which a gate narrows: most answers just in time
+	originCongestionGoal  = 0.3     // the same for the origin, whose latency comes on top of a miss
+	limitDecrease         = 0.85    // factor of one narrowing
+	mediumEWMAWeight      = 0.1     // weight of a new latency of the origin, or of a report in its zone's: 10 answers
+	fewOutcomesWeight     = 0.5     // the same at a gate that turns ops away by chance: two answers tell
+	originFullDecrease    = 0.5     // factor of one narrowing while the origin answers nobody for a target
+	originFullCongestion  = 2.0     // targets that a fetch counts as having waited then: it is told by few outcomes
+	limitDecreaseInterval = 100.0   // ms between two narrowings, so that the first can show
+	randomShedCongestion  = 0.5     // smoothed latency over target above which a gate turns ops away by chance
+	limitRecoveryTime     = 14000.0 // ms in which it lets out all again by itself
+	fleetMinPerHost       = 2.0     // pushes a host, of all balancers, that the hosts' gate lets out at least
+	fleetInitialPerHost   = 16.0    // pushes a host, of all balancers, that the hosts' gate starts with
+	originInitialPerHost  = 1.5     // fetches a host, of all balancers, that the origin's gate starts with
+	originMinInitialLimit = 4.0     // fetches that the origin's gate starts with at the least: own ops tell of no other's
+	originSilenceTime     = 200.0   // ms, a fetch's time, without an outcome: the origin's gate opens by itself
+	originMinLimit        = 2.0     // fetches, of all balancers, that it lets out at least
+
+	coldBudgetShare = 0.5    // part of the tipping load that all may send a cold host in a span; two can touch
+	pushRateWindow  = 2000.0 // ms over which the usual rate of pushes is averaged
+
+	idleTimeoutDecrease = 0.8 // factor of the time idle connections are kept, when one cannot be made
+	idleTimeoutIncrease = 1.2 // the same when one is made: four in ten may fail, for a handshake costs more
+
+	baseConnBackoff = 1000.0 // ms in which no new connection is tried to a host whose table of them was full
+	maxConnBackoff  = 8000.0 // ms, the longest such wait: places come free as others hang up
+
+	listRetryDelay  = 500.0  // ms until a failed list call is repeated, spread by as much again; then twice that
+	listTimeout     = 3000.0 // ms after which an unanswered call counts as failed: it takes its turn, a second or so
+	listRetryWindow = 4500.0 // ms from a failed call to the next: changes count as told after 6 s, 1.5 for an answer
+
+	settleMarginQuanta = 2.0 // quanta before its TTL at which an op is settled, beside one tick
+	maxTenantTokens    = 8.0 // ops that a tenant may be ahead of its part of those acked: chance sends some together
 )
 
 // Balancer decides for one instance.
 type Balancer struct {
-	Start
-	port Port
-	now  float64
-	rng  pcg
-
-	hosts                   []*Host // listed cache hosts, by name
-	ready                   []*Host // those that may be pushed to
-	cycle                   cycle
-	coldUntil               float64 // ms, when the last of them is warm
-	unit, sizes             float64 // size that gets pointsPerHost places, and the sum of the ready hosts'
-	origins                 []*Host
-	walks, served           int            // made so far, and ops acked
-	busy, busyNear, busyFar float64        // smoothed part of their cores' time that hosts say is taken
-	refused                 float64        // smoothed part turned away of the pushes of ops that walked on
-	heat                    [cells]float64 // recent ops by key, halved now and then
-	heatAll, cooled         float64        // their sum, and ms, when they were halved
-	copies                  float64        // second copies that may be sent
-	tries                   float64        // ops that may be sent to suspect hosts while others have room
-	pool                    float64        // part of the keys that keep to no zone
-	pooled                  bool           // crossing costs no more than a fetch: best all of them
-	answered, careful       float64        // ms, time of the last answer; until when the bound has no floor
-	fails                   []float64      // of all ready hosts at the last look, in order
-	failing, agree          float64        // smoothed failures of the middle host; errors that a second repeats
-	resting, counted        int            // ready hosts that rest; answers of warm ones since the last look
-	rate                    float64        // pushes a ms for each unit of warm size
-	wakeAt, ticked          float64        // ms, when the timer calls next, and when hosts were looked at
-	fetches                 map[string]*fetch
-	turns                   map[string]*turn // by key, of ordered ops
-	strands                 [cells]strand    // by key
-	all                     strand           // of all ops
-	fleet, origin           gate
-	part, behind            float64 // of new ops that there is room for; how long input waits, of round
-	round, steered          float64 // ms, how long it may wait, and when that was last looked at
-	yielded                 bool    // cold hosts are another process's
-	ends, looks             dues    // at ops, and at pushes
-	usual                   float64 // smoothed over all hosts, what slow is smoothed of for each
-	making                  latency // that a connection that has to be made adds
-	keep                    float64 // ms for which an idle connection is kept
-	asking                  bool    // a call for the list is out
-	askAt, askWait          float64 // ms, when it was made or the next is due, and what a failure puts that off
+	Config
+	frontend Frontend
+	now      float64
+	rng      pcg
+
+	hosts                                []*Host // listed cache hosts, by name
+	readyHosts                           []*Host // those that may be pushed to
+	cycle                                cycle
+	coldUntil                            float64 // ms, when the last of them is warm
+	sizeUnit, totalSize                  float64 // size that gets pointsPerHost places, and the sum of the ready hosts'
+	origins                              []*Host
+	walkCount, ackedCount                int                 // made so far, and ops acked
+	avgBusy, ownZoneBusy, otherZonesBusy float64             // smoothed part of their cores' time that hosts say is taken
+	overloadedRate                       float64             // smoothed part turned away of the pushes of ops that walked on
+	keyCounts                            [keyBuckets]float64 // recent ops by key, halved now and then
+	keyCountSum, keyCountsHalvedAt       float64             // their sum, and ms, when they were halved
+	hedgeTokens                          float64             // second copies that may be sent
+	probeTokens                          float64             // ops that may be sent to suspect hosts while others have room
+	crossZoneShare                       float64             // part of the keys that keep to no zone
+	crossZoneCheap                       bool                // crossing costs no more than a fetch: best all of them
+	lastAnswer, noFloorUntil             float64             // ms, time of the last answer; until when the bound has no floor
+	failRates                            []float64           // of all ready hosts at the last look, in order
+	medianFailRate, errorRepeatRate      float64             // smoothed failures of the middle host; errors that a second repeats
+	ejectedCount, warmAnswers            int                 // ready hosts that rest; answers of warm ones since the last look
+	pushRate                             float64             // pushes a ms for each unit of warm size
+	timerAt, lastSweep                   float64             // ms, when the timer calls next, and when hosts were looked at
+	fetches                              map[string]*fetch
+	keyQueues                            map[string]*keyQueue  // by key, of ordered ops
+	keyFlows                             [keyBuckets]flowStats // by key
+	allOps                               flowStats             // of all ops
+	fleetLimiter, originLimiter          limiter
+	admitShare, inputWait                float64     // of new ops that there is room for; how long input waits, of round
+	maxInputWait, admitAdjustedAt        float64     // ms, how long it may wait, and when that was last looked at
+	coldHostsYielded                     bool        // cold hosts are another process's
+	opTimers, pushTimers                 timers      // at ops, and at pushes
+	avgSlowdown                          float64     // smoothed over all hosts, what slow is smoothed of for each
+	connSetup                            latencyEWMA // that a connection that has to be made adds
+	idleTimeout                          float64     // ms for which an idle connection is kept
+	listPending                          bool        // a call for the list is out
+	listCallAt, listRetryWait            float64     // ms, when it was made or the next is due, and what a failure puts that off
 }
 
 // New makes the balancer of one instance at time now.
-func New(s Start, port Port, now float64) *Balancer {
-	b := &Balancer{Start: s, port: port, now: now, rng: pcg(s.Seed), ticked: now,
-		fetches: map[string]*fetch{}, turns: map[string]*turn{}, askWait: askFirst, usual: 1, keep: s.ConnIdle,
-		busyFar: 1, copies: mostAtOnce, tries: mostAtOnce, wakeAt: math.Inf(1), round: math.Inf(1), part: 1}
-	if b.pooled = b.CrossCost*(1-1/float64(max(b.Zones, 1))) <= b.FetchCost; b.pooled {
-		b.pool = 1
-	}
-	b.rng.float() // seeds that lie close give numbers that lie close at first
-	b.fleet = gate{goal: gateGoal, step: hostStep, limit: math.Inf(1)}
-	b.origin = gate{goal: originGoal, step: originStep, pain: originGoal / 2,
-		floor: originFloor / float64(s.Group), limit: math.Inf(1)}
+func New(s Config, port Frontend, now float64) *Balancer {
+	b := &Balancer{Config: s, frontend: port, now: now, rng: pcg(s.Seed), lastSweep: now,
+		fetches: map[string]*fetch{}, keyQueues: map[string]*keyQueue{}, listRetryWait: listRetryDelay, avgSlowdown: 1, idleTimeout: s.ConnIdleTimeout,
+		otherZonesBusy: 1, hedgeTokens: maxTokens, probeTokens: maxTokens, timerAt: math.Inf(1), maxInputWait: math.Inf(1), admitShare: 1}
+	if b.crossZoneCheap = b.CrossZoneCost*(1-1/float64(max(b.ZoneCount, 1))) <= b.FetchCost; b.crossZoneCheap {
+		b.crossZoneShare = 1
+	}
+	b.rng.uniform() // seeds that lie close give numbers that lie close at first
+	b.fleetLimiter = limiter{congestionGoal: fleetCongestionGoal, congestionWeight: fastEWMAWeight, limit: math.Inf(1)}
+	b.originLimiter = limiter{congestionGoal: originCongestionGoal, congestionWeight: mediumEWMAWeight, congestion: originCongestionGoal / 2,
+		minLimit: originMinLimit / float64(s.GroupSize), limit: math.Inf(1)}
 	for _, c := range s.Categories {
-		c.lat, c.dev = c.Target/4, c.Target/8
-		b.round = math.Max(math.Min(b.round, c.Target*ownGoal), 2*b.Quantum)
-		b.origin.lat, b.origin.dev = max(b.origin.lat, c.lat), max(b.origin.dev, c.dev)
-		b.fleet.lat = b.origin.lat
+		c.avgLatency, c.latencyDev = c.Target/4, c.Target/8
+		b.maxInputWait = math.Max(math.Min(b.maxInputWait, c.Target*inputWaitShare), 2*b.Quantum)
+		b.originLimiter.avgLatency, b.originLimiter.latencyDev = max(b.originLimiter.avgLatency, c.avgLatency), max(b.originLimiter.latencyDev, c.latencyDev)
+		b.fleetLimiter.avgLatency = b.originLimiter.avgLatency
 	}
 	quotas := 0.0
 	for _, t := range s.Tenants {
 		quotas += t.Quota
 	}
 	for _, t := range s.Tenants {
-		t.tokens, t.part = shareLeast, t.Quota/math.Max(quotas, 1)
+		t.tokens, t.quotaShare = maxTenantTokens, t.Quota/math.Max(quotas, 1)
 	}
-	if s.OnRequest {
-		b.ask()
+	if s.ListOnRequest {
+		b.subscribe()
 	}
-	b.arm(now + tick)
+	b.armTimer(now + tickInterval)
 	return b
 }
 
-// At takes the time and does what has fallen due.
-func (b *Balancer) At(now float64) {
+// Advance takes the time and does what has fallen due.
+func (b *Balancer) Advance(now float64) {
 	b.now = now
-	for d, ok := b.ends.Due(now); ok; d, ok = b.ends.Due(now) {
+	for d, ok := b.opTimers.Due(now); ok; d, ok = b.opTimers.Due(now) {
 		switch op := d.op; {
 		case op == nil: // a key has rested
-			b.begin(d.turn)
-		case op.fetch != nil && op.out > 0 && b.now < b.end(op):
-			b.look(&b.ends, d, b.end(op)) // late for this op, but what it fetches is kept for others
+			b.startNext(d.keyQueue)
+		case op.fetch != nil && op.inFlight > 0 && b.now < b.settleBy(op):
+			b.schedule(&b.opTimers, d, b.settleBy(op)) // late for this op, but what it fetches is kept for others
 		default:
 			b.giveUp(op)
 		}
 	}
 }
 
-// Behind takes word that what is read in this round may have waited for so many ms. Past what one core can do
+// ReportInputWait takes word that what is read in this round may have waited for so many ms. Past what one core can do
 // that grows for ever. Then a part of the ops is taken, so that they wait no longer than leaves time to serve
 // them. Whatever slows the process is met alike. After a long stall some ops are turned away needlessly.
-func (b *Balancer) Behind(late float64) {
-	if b.now < b.steered+b.round/2 {
+func (b *Balancer) ReportInputWait(late float64) {
+	if b.now < b.admitAdjustedAt+b.maxInputWait/2 {
 		return
 	}
-	last, now := b.behind, math.Max(late/b.round, ownLeast)
-	b.behind, b.steered = now, b.now
-	if now > 1 || b.part < 1 { // by how the wait changes, and by how long it is
+	last, now := b.inputWait, math.Max(late/b.maxInputWait, minInputWaitShare)
+	b.inputWait, b.admitAdjustedAt = now, b.now
+	if now > 1 || b.admitShare < 1 { // by how the wait changes, and by how long it is
 		change := math.Sqrt(last / now / math.Sqrt(now))
-		b.part = clamp(b.part*clamp(change, 1/ownStep, ownStep), ownFloor, 1)
+		b.admitShare = clamp(b.admitShare*clamp(change, 1/maxAdmitFactor, maxAdmitFactor), minAdmitShare, 1)
 	}
 }
 
-// Room tells whether the own process has room for one more op, by chance; else it is nacked, if need be
+// Admit tells whether the own process has room for one more op, by chance; else it is nacked, if need be
 // unread, for reading takes the core from those that are taken, and may come back after backoff ms.
-func (b *Balancer) Room() (room bool, backoff float64) {
-	if b.part == 1 || b.rng.float() < b.part {
+func (b *Balancer) Admit() (room bool, backoff float64) {
+	if b.admitShare == 1 || b.rng.uniform() < b.admitShare {
 		return true, 0
 	}
-	return false, b.backoff(b.round / ownGoal)
+	return false, b.backoff(b.maxInputWait / inputWaitShare)
 }
 
-// Close takes word that the process ends before another op could be settled. Those that come are nacked.
-func (b *Balancer) Close() { b.part, b.steered = 0, math.Inf(1) }
+// StopAdmitting takes word that the process ends before another op could be settled. Those that come are nacked.
+func (b *Balancer) StopAdmitting() { b.admitShare, b.admitAdjustedAt = 0, math.Inf(1) }
 
-// look has d looked at then.
-func (b *Balancer) look(all *dues, d *due, at float64) {
+// schedule has d looked at then.
+func (b *Balancer) schedule(all *timers, d *timer, at float64) {
 	all.Set(d, at)
-	b.arm(at)
+	b.armTimer(at)
 }
 
-// Woke is the timer's call: all periodic work.
-func (b *Balancer) Woke() {
-	if b.now < b.wakeAt-tick/10 { // an earlier call has taken this one's place
+// TimerFired is the timer's call: all periodic work.
+func (b *Balancer) TimerFired() {
+	if b.now < b.timerAt-tickInterval/10 { // an earlier call has taken this one's place
 		return
 	}
 	// Only now has all been heard that has come: the answer to a push may stand among what a round has read.
-	for d, ok := b.looks.Due(b.now); ok; d, ok = b.looks.Due(b.now) {
+	for d, ok := b.pushTimers.Due(b.now); ok; d, ok = b.pushTimers.Due(b.now) {
 		switch p := d.push; {
-		case p.waited > 0:
-			if p.made {
-				p.waited += b.making.lat + patienceDevs*b.making.dev
+		case p.localWait > 0:
+			if p.newConn {
+				p.localWait += b.connSetup.avgLatency + checkDelayDevs*b.connSetup.latencyDev
 			}
-			b.look(&b.looks, d, d.At()+p.waited)
-			p.waited = 0
-		case p.Op.state < streaming:
-			b.impatient(p)
+			b.schedule(&b.pushTimers, d, d.At()+p.localWait)
+			p.localWait = 0
+		case p.Op.state < stateStreaming:
+			b.checkSlowPush(p)
 		}
 	}
-	if b.now-b.ticked >= sweepEvery {
-		b.sweep(b.now - b.ticked)
+	if b.now-b.lastSweep >= sweepInterval {
+		b.sweep(b.now - b.lastSweep)
 	}
 	switch {
-	case b.asking && b.now-b.askAt > askAnswer:
-		b.ListFailed()
-	case b.OnRequest && !b.asking && b.now >= b.askAt:
-		b.ask()
-	}
-	for _, g := range []*gate{&b.fleet, &b.origin} {
-		for _, op := range slices.Clone(g.line) { // those that can no longer be answered in time are given up
-			if op.state == held && b.now+op.Category.lat+op.Category.dev > op.arrived+op.Category.Target {
-				b.drop(op)
+	case b.listPending && b.now-b.listCallAt > listTimeout:
+		b.HostListFailed()
+	case b.ListOnRequest && !b.listPending && b.now >= b.listCallAt:
+		b.subscribe()
+	}
+	for _, g := range []*limiter{&b.fleetLimiter, &b.originLimiter} {
+		for _, op := range slices.Clone(g.queue) { // those that can no longer be answered in time are given up
+			if op.state == stateQueued && b.now+op.Category.avgLatency+op.Category.latencyDev > op.arrivedAt+op.Category.Target {
+				b.abandonPush(op)
 			}
 		}
-		b.pump(g)
+		b.dispatch(g)
 	}
-	next := min(b.ticked+sweepEvery, b.ends.Next(), b.looks.Next())
-	if len(b.fleet.line)+len(b.origin.line) > 0 {
-		next = math.Min(next, b.now+tick)
+	next := min(b.lastSweep+sweepInterval, b.opTimers.Next(), b.pushTimers.Next())
+	if len(b.fleetLimiter.queue)+len(b.originLimiter.queue) > 0 {
+		next = math.Min(next, b.now+tickInterval)
 	}
-	b.wakeAt = math.Inf(1)
-	b.arm(math.Max(next, b.now+tick/10))
+	b.timerAt = math.Inf(1)
+	b.armTimer(math.Max(next, b.now+tickInterval/10))
 }
 
-// arm has the timer call at a time, if it would not before.
-func (b *Balancer) arm(at float64) {
-	if at < b.wakeAt {
-		b.wakeAt = at
-		b.port.Wake(math.Max(at-b.now, 0))
+// armTimer has the timer call at a time, if it would not before.
+func (b *Balancer) armTimer(at float64) {
+	if at < b.timerAt {
+		b.timerAt = at
+		b.frontend.SetTimer(math.Max(at-b.now, 0))
 	}
 }
 
 // sweep looks at all hosts. A thousand balancers that did so at each tick took more CPU than their ops.
 func (b *Balancer) sweep(span float64) {
-	b.ticked = b.now
-	warm := b.sizes
-	if b.now < b.coldUntil+sweepEvery {
-		for _, h := range b.ready {
+	b.lastSweep = b.now
+	warm := b.totalSize
+	if b.now < b.coldUntil+sweepInterval {
+		for _, h := range b.readyHosts {
 			if b.warmth(h) < 1 {
 				warm -= h.Size
 			}
-			b.join(h)
+			b.activatePoints(h)
 		}
 	}
 	if warm > 0 {
-		b.rate += (float64(b.counted)/span/warm - b.rate) * math.Min(1, span/rateSpan)
-	}
-	b.counted = 0
-	if b.now-b.cooled > heatHalf {
-		b.cooled = b.now
-		b.heatAll /= 2
-		for i := range b.heat {
-			b.heat[i] /= 2
+		b.pushRate += (float64(b.warmAnswers)/span/warm - b.pushRate) * math.Min(1, span/pushRateWindow)
+	}
+	b.warmAnswers = 0
+	if b.now-b.keyCountsHalvedAt > keyCountHalfLife {
+		b.keyCountsHalvedAt = b.now
+		b.keyCountSum /= 2
+		for i := range b.keyCounts {
+			b.keyCounts[i] /= 2
 		}
-		maps.DeleteFunc(b.turns, func(_ string, t *turn) bool { return len(t.line) == 0 && b.now >= t.quiet })
+		maps.DeleteFunc(b.keyQueues, func(_ string, t *keyQueue) bool { return len(t.ops) == 0 && b.now >= t.quietUntil })
 	}
-	b.countResting()
-	if len(b.ready) > 0 {
-		b.fails = b.fails[:0]
-		for _, h := range b.ready {
-			b.fails = append(b.fails, h.fail)
+	b.countEjected()
+	if len(b.readyHosts) > 0 {
+		b.failRates = b.failRates[:0]
+		for _, h := range b.readyHosts {
+			b.failRates = append(b.failRates, h.failRate)
 		}
-		slices.Sort(b.fails)
-		b.failing = b.fails[(len(b.fails)-1)/2]
+		slices.Sort(b.failRates)
+		b.medianFailRate = b.failRates[(len(b.failRates)-1)/2]
 	}
-	b.hangUp()
-	if b.origin.limit < 1 && b.now-b.origin.told > originSilent { // no fetch tells that it is well again
-		b.origin.limit += span / chanceSpan
+	b.closeIdleConns()
+	if b.originLimiter.limit < 1 && b.now-b.originLimiter.lastOutcome > originSilenceTime { // no fetch tells that it is well again
+		b.originLimiter.limit += span / limitRecoveryTime
 	}
 }
 
-// hangUp closes idle connections. A host takes so many and no more: where there are more balancers than
+// closeIdleConns closes idle connections. A host takes so many and no more: where there are more balancers than
 // that, those that each keeps for its next op shut out the others.
-func (b *Balancer) hangUp() {
-	for _, h := range b.ready {
-		if h.open && h.out == 0 && b.now-h.pushed > b.keep {
-			h.open = false
-			b.port.HangUp(h)
+func (b *Balancer) closeIdleConns() {
+	for _, h := range b.readyHosts {
+		if h.connOpen && h.inFlight == 0 && b.now-h.lastPush > b.idleTimeout {
+			h.connOpen = false
+			b.frontend.CloseIdleConns(h)
 		}
 	}
 }
 
-// ask subscribes to the list.
-func (b *Balancer) ask() {
-	b.asking, b.askAt = true, b.now
-	b.port.Watch()
+// subscribe subscribes to the list.
+func (b *Balancer) subscribe() {
+	b.listPending, b.listCallAt = true, b.now
+	b.frontend.SubscribeHostList()
 }
 
-// ListFailed takes word that a call for the list failed or the watch broke. The next waits a spread time,
+// HostListFailed takes word that a call for the list failed or the watch broke. The next waits a spread time,
 // so not all ask together, but is soon after the call: discovery may have been back from just after it on.
-func (b *Balancer) ListFailed() {
-	left := askSpan
-	if b.asking {
-		left -= b.now - b.askAt
+func (b *Balancer) HostListFailed() {
+	left := listRetryWindow
+	if b.listPending {
+		left -= b.now - b.listCallAt
 	}
-	b.asking, b.askAt = false, b.now+math.Min(b.askWait, left/2)*(1+b.rng.float())
-	b.askWait = math.Min(b.askWait*2, askFirst*2)
+	b.listPending, b.listCallAt = false, b.now+math.Min(b.listRetryWait, left/2)*(1+b.rng.uniform())
+	b.listRetryWait = math.Min(b.listRetryWait*2, listRetryDelay*2)
 }
 
-// ListMoved takes word that the list is told elsewhere now, or the watch silent. It is asked for at once.
-func (b *Balancer) ListMoved() {
-	if b.OnRequest {
-		b.askWait = askFirst
-		b.ask()
+// HostListMoved takes word that the list is told elsewhere now, or the watch silent. It is asked for at once.
+func (b *Balancer) HostListMoved() {
+	if b.ListOnRequest {
+		b.listRetryWait = listRetryDelay
+		b.subscribe()
 	}
 }
 
-// List takes news of hosts: the whole list, or changes to it. A saved list answers no call.
-func (b *Balancer) List(entries []Entry, whole, saved bool) {
+// HostsListed takes news of hosts: the whole list, or changes to it. A saved list answers no call.
+func (b *Balancer) HostsListed(entries []HostEntry, whole, saved bool) {
 	if !saved {
-		b.asking, b.askAt, b.askWait = false, math.Inf(1), askFirst
+		b.listPending, b.listCallAt, b.listRetryWait = false, math.Inf(1), listRetryDelay
 	}
 	if whole {
 		for _, h := range slices.Concat(b.hosts, b.origins) {
@@ -370,154 +370,156 @@
 	}
 	for _, e := range entries {
 		h, set := e.Host, &b.hosts
-		if h.Origin {
+		if h.IsOrigin {
 			set = &b.origins
 		}
 		// A new process: what was learned of the old one is void. Stamps that are off may go back.
-		if e.UpSince > h.UpSince || b.StampDoubt > 0 && e.UpSince != h.UpSince {
-			b.fell(h)
-			h.open, h.fresh, h.budget, h.budgeted = false, false, 0, 0
-			h.forgive()
+		if e.UpSince > h.UpSince || b.UpSinceSkew > 0 && e.UpSince != h.UpSince {
+			b.noteHostDown(h)
+			h.connOpen, h.connUnproven, h.coldBudget, h.coldBudgetSince = false, false, 0, 0
+			h.resetHealth()
 		}
 		h.Listing = e.Listing
 		if !slices.Contains(*set, h) {
 			*set = append(*set, h)
 		}
 	}
-	b.layOut()
+	b.rebuildCycle()
 }
 
-// Ban takes a cache host out of use by hand, or puts it back, whatever lists say. What was learned of it is
+// SetBanned takes a cache host out of use by hand, or puts it back, whatever lists say. What was learned of it is
 // void, for it is restarted meanwhile; its budget is not, or a moment's ban would fill it again.
-func (b *Balancer) Ban(h *Host, on bool) {
+func (b *Balancer) SetBanned(h *Host, on bool) {
 	h.Banned = on
-	h.forgive()
-	b.layOut()
+	h.resetHealth()
+	b.rebuildCycle()
 }
 
-// fell takes word that a host has gone down. In use, it may be for what all balancers had out there.
-func (b *Balancer) fell(h *Host) {
-	if !h.Origin && h.answered > 0 && b.now-h.answered < fellLately {
-		b.careful = b.now + carefulFor
+// noteHostDown takes word that a host has gone down. In use, it may be for what all balancers had out there.
+func (b *Balancer) noteHostDown(h *Host) {
+	if !h.IsOrigin && h.lastAnswer > 0 && b.now-h.lastAnswer < inUseTime {
+		b.noFloorUntil = b.now + noFloorTime
 	}
 }
 
-// layOut puts the ready hosts on the cycle, at places that depend on a host's name and size alone.
-func (b *Balancer) layOut() {
+// rebuildCycle puts the ready hosts on the cycle, at places that depend on a host's name and size alone.
+func (b *Balancer) rebuildCycle() {
 	gone := func(h *Host) bool { return h.Status == Gone }
 	all := slices.Clone(b.hosts)
 	b.hosts = slices.DeleteFunc(b.hosts, gone)
 	b.origins = slices.DeleteFunc(b.origins, gone)
 	slices.SortFunc(b.hosts, func(x, y *Host) int { return cmp.Compare(x.Name, y.Name) })
-	b.ready, b.sizes = b.ready[:0], 0
+	b.readyHosts, b.totalSize = b.readyHosts[:0], 0
 	for _, h := range b.hosts {
 		if h.Usable() {
-			b.ready = append(b.ready, h)
-			b.sizes += h.Size
+			b.readyHosts = append(b.readyHosts, h)
+			b.totalSize += h.Size
 		}
 	}
-	if b.unit == 0 && len(b.ready) > 0 {
+	if b.sizeUnit == 0 && len(b.readyHosts) > 0 {
 		// Sizes have no unit. A power of two near their mean is the same at balancers whose lists differ.
-		b.unit = math.Exp2(math.Round(math.Log2(b.sizes / float64(len(b.ready)))))
+		b.sizeUnit = math.Exp2(math.Round(math.Log2(b.totalSize / float64(len(b.readyHosts)))))
 	}
-	b.cycle.lay(all, func(h *Host) int {
+	b.cycle.update(all, func(h *Host) int {
 		if !h.Usable() {
 			return 0
 		}
-		return max(1, int(math.Round(pointsPerHost*math.Sqrt(h.Size/b.unit))))
+		return max(1, int(math.Round(pointsPerHost*math.Sqrt(h.Size/b.sizeUnit))))
 	})
-	for _, h := range b.ready {
-		b.coldUntil = math.Max(b.coldUntil, h.UpSince+b.ColdFor+b.StampDoubt)
-		b.join(h)
-		h.slow = math.Max(h.slow, 1)
+	for _, h := range b.readyHosts {
+		b.coldUntil = math.Max(b.coldUntil, h.UpSince+b.WarmupTime+b.UpSinceSkew)
+		b.activatePoints(h)
+		h.slowdown = math.Max(h.slowdown, 1)
 	}
-	if len(b.ready) == 0 {
+	if len(b.readyHosts) == 0 {
 		return
 	}
-	share := float64(len(b.ready)) / float64(b.Group)
-	b.fleet.floor = fleetFloor * share
-	if math.IsInf(b.fleet.limit, 1) { // the first list
+	share := float64(len(b.readyHosts)) / float64(b.GroupSize)
+	b.fleetLimiter.minLimit = fleetMinPerHost * share
+	if math.IsInf(b.fleetLimiter.limit, 1) { // the first list
 		// No host can be sure to hold a connection for each: found out by making them, where that costs little.
-		if b.Group > len(b.ready) && b.CrossCost >= b.FetchCost {
-			b.pool = 0
+		if b.GroupSize > len(b.readyHosts) && b.CrossZoneCost >= b.FetchCost {
+			b.crossZoneShare = 0
 		}
-		b.origin.limit = math.Max(originStart*share, originOwn)
-		b.fleet.limit = math.Max(1, fleetStart*share)
+		b.originLimiter.limit = math.Max(originInitialPerHost*share, originMinInitialLimit)
+		b.fleetLimiter.limit = math.Max(1, fleetInitialPerHost*share)
 	}
-	b.fleet.limit = math.Max(b.fleet.limit, b.fleet.floor)
-	b.countResting()
-	b.pump(&b.fleet)
+	b.fleetLimiter.limit = math.Max(b.fleetLimiter.limit, b.fleetLimiter.minLimit)
+	b.countEjected()
+	b.dispatch(&b.fleetLimiter)
 }
 
-// join lets a host stand on the cycle with as many of its points as it is warm.
-func (b *Balancer) join(h *Host) { h.active = int(math.Ceil(float64(len(h.points)) * b.warmth(h))) }
+// activatePoints lets a host stand on the cycle with as many of its points as it is warm.
+func (b *Balancer) activatePoints(h *Host) {
+	h.activePoints = int(math.Ceil(float64(len(h.pointHashes)) * b.warmth(h)))
+}
 
 // warmth is the share of its capacity that a host surely has by now.
 func (b *Balancer) warmth(h *Host) float64 {
-	age := b.now - h.UpSince - b.StampDoubt
-	if h.UpSince <= 0 || age >= b.ColdFor {
+	age := b.now - h.UpSince - b.UpSinceSkew
+	if h.UpSince <= 0 || age >= b.WarmupTime {
 		return 1
 	}
-	return b.ColdShare + (1-b.ColdShare)*math.Max(age, 0)/b.ColdFor
+	return b.ColdCapacity + (1-b.ColdCapacity)*math.Max(age, 0)/b.WarmupTime
 }
 
-// afford tells whether a cold host may be pushed to: its budget for a span of TipFor, judged from what warm
+// hasColdBudget tells whether a cold host may be pushed to: its budget for a span of TipFor, judged from what warm
 // hosts of its size get from this balancer, so that the parts of all balancers add up. Less than one push is
 // granted by chance: were each of some hundred balancers to send one at once, the host would be pushed over.
-func (b *Balancer) afford(h *Host) bool {
+func (b *Balancer) hasColdBudget(h *Host) bool {
 	share := b.warmth(h)
-	if share >= 1 || b.yielded {
+	if share >= 1 || b.coldHostsYielded {
 		return share >= 1
 	}
-	if b.now-h.budgeted >= b.TipFor {
+	if b.now-h.coldBudgetSince >= b.OverloadTime {
 		// With no warm host to go by, as after all restarted at once, a host takes at least one op after
 		// another: without this floor a fleet that is cold as a whole would be sent nothing for ever.
-		slowest := slices.MaxFunc(b.Categories, func(x, y *Category) int { return cmp.Compare(x.lat, y.lat) })
-		pace := math.Max(b.rate*h.Size, 1/(math.Max(slowest.lat, tick)*float64(b.Group)))
-		h.budgeted = b.now
-		h.budget = math.Floor(pace*b.TipMultiple*share*coldSafety*b.TipFor + b.rng.float())
+		slowest := slices.MaxFunc(b.Categories, func(x, y *Category) int { return cmp.Compare(x.avgLatency, y.avgLatency) })
+		pace := math.Max(b.pushRate*h.Size, 1/(math.Max(slowest.avgLatency, tickInterval)*float64(b.GroupSize)))
+		h.coldBudgetSince = b.now
+		h.coldBudget = math.Floor(pace*b.OverloadMultiple*share*coldBudgetShare*b.OverloadTime + b.rng.uniform())
 	}
-	return h.budget >= 1
+	return h.coldBudget >= 1
 }
 
-func (b *Balancer) countResting() {
-	b.resting = 0
-	for _, h := range b.ready {
-		if b.now < h.restUntil {
-			b.resting++
+func (b *Balancer) countEjected() {
+	b.ejectedCount = 0
+	for _, h := range b.readyHosts {
+		if b.now < h.ejectedUntil {
+			b.ejectedCount++
 		}
 	}
 }
 
-// suspect tells whether a host fails clearly more than half of all do. Where most lose a part of their
+// isSuspect tells whether a host fails clearly more than half of all do. Where most lose a part of their
 // answers those have to serve on: the few that lose none could not take it all.
-func (b *Balancer) suspect(h *Host) bool { return h.fail > failFrom+b.failing }
+func (b *Balancer) isSuspect(h *Host) bool { return h.failRate > suspectThreshold+b.medianFailRate }
 
-// full tells whether a host has no room by the bounded-load rule: its count against its bound. Trouble
+// isFull tells whether a host has no room by the bounded-load rule: its count against its bound. Trouble
 // changes them: a resting host is full, a suspect one with anything out, a slow one early if many see it.
-func (b *Balancer) full(op *Op, h *Host, mean float64) bool {
-	count, bound := float64(h.out), math.Ceil(overMean*mean)
-	if b.now >= b.careful {
-		bound = math.Max(bound, floorCount)
+func (b *Balancer) isFull(op *Op, h *Host, mean float64) bool {
+	count, bound := float64(h.inFlight), math.Ceil(boundFactor*mean)
+	if b.now >= b.noFloorUntil {
+		bound = math.Max(bound, boundFloor)
 	}
-	if float64(b.resting) <= restShare*float64(len(b.ready)) {
+	if float64(b.ejectedCount) <= maxEjectedShare*float64(len(b.readyHosts)) {
 		switch {
-		case b.now < h.restUntil:
+		case b.now < h.ejectedUntil:
 			return true
-		case b.suspect(h):
+		case b.isSuspect(h):
 			bound = 1
-		case b.MayDuplicate:
-			excess := (h.slow - b.usual - crowdSlack) * crowdPart
-			if excess > 0 && part(op.hash^h.points[0]) < excess/(1+excess) {
+		case b.AllowHedging:
+			excess := (h.slowdown - b.avgSlowdown - slowdownSlack) * slowdownGain
+			if excess > 0 && hashFraction(op.keyHash^h.pointHashes[0]) < excess/(1+excess) {
 				return true
 			}
-		case h.slow > 1:
+		case h.slowdown > 1:
 			// Others' ops show in a host's latency alone. With a dozen balancers the floor of two each would
 			// let two dozen ops crowd a host before any of them saw it full.
-			count *= 1 + (h.slow-1)*float64(b.Group)/crowdGroup
+			count *= 1 + (h.slowdown-1)*float64(b.GroupSize)/smallGroupSize
 			// With a hundred, one each is too many: a push counts on for a while after it has ended.
-			more := math.Max(0, float64(b.Group)/crowdGroup-1)
-			if b.now < h.pushed+(h.slow-b.usual-crowdSlack)*more*b.fleet.lat {
+			more := math.Max(0, float64(b.GroupSize)/smallGroupSize-1)
+			if b.now < h.lastPush+(h.slowdown-b.avgSlowdown-slowdownSlack)*more*b.fleetLimiter.avgLatency {
 				return true
 			}
 		}
@@ -530,30 +532,30 @@
 	if len(b.cycle.points) == 0 {
 		return nil
 	}
-	mean := float64(b.fleet.out+1) / float64(len(b.ready))
-	from := b.cycle.from(op.hash)
-	b.walks++
-	near, pass := b.near(op), 0
-	if spread := b.spread(op); spread > 1 {
-		pass = int(b.rng.float() * spread)
+	mean := float64(b.fleetLimiter.inFlight+1) / float64(len(b.readyHosts))
+	from := b.cycle.search(op.keyHash)
+	b.walkCount++
+	near, pass := b.prefersOwnZone(op), 0
+	if spread := b.hotKeySpread(op); spread > 1 {
+		pass = int(b.rng.uniform() * spread)
 	}
 	var spill, doubt *Host
-	left := len(b.ready) // each host is judged once: where most are full its other points cost too much
+	left := len(b.readyHosts) // each host is judged once: where most are full its other points cost too much
 	for i := 0; i < len(b.cycle.points) && left > 0; i++ {
 		p := b.cycle.points[(from+i)%len(b.cycle.points)]
-		h := b.cycle.slots[p.slot]
-		if h.walked == b.walks || int(p.nth) >= h.active {
+		h := b.cycle.hosts[p.hostIndex]
+		if h.lastWalk == b.walkCount || int(p.ordinal) >= h.activePoints {
 			continue
 		}
-		h.walked = b.walks
+		h.lastWalk = b.walkCount
 		left--
-		if h != op.failed && allowed(op, h) && !b.full(op, h, mean) && b.afford(h) {
+		if h != op.failedHost && dedupAllows(op, h) && !b.isFull(op, h, mean) && b.hasColdBudget(h) {
 			switch {
-			case b.shut(h) || h.rest >= restFirst && b.tries < 1: // where all are, the one that has waited longest
-				if doubt == nil || h.shutUntil < doubt.shutUntil {
+			case b.isConnLimited(h) || h.ejectTime >= baseEjectTime && b.probeTokens < 1: // where all are, the one that has waited longest
+				if doubt == nil || h.connBackoffUntil < doubt.connBackoffUntil {
 					doubt = h
 				}
-			case near && (h.Zone == b.Zone) != (op.failed == nil):
+			case near && (h.Zone == b.Zone) != (op.failedHost == nil):
 				spill = cmp.Or(spill, h)
 			case pass <= 0:
 				return h
@@ -566,685 +568,691 @@
 	return cmp.Or(spill, doubt)
 }
 
-// spread is over how many hosts a key's ops have to go so that none gets more than the bound allows of what
+// hotKeySpread is over how many hosts a key's ops have to go so that none gets more than the bound allows of what
 // this balancer sends. With more hosts than ops out the bound never binds, and a busy key would be one host's
 // at all balancers. It counts recent ops, less the one that chance alone would bring.
-func (b *Balancer) spread(op *Op) float64 {
-	if !b.MayDuplicate {
+func (b *Balancer) hotKeySpread(op *Op) float64 {
+	if !b.AllowHedging {
 		return 0
 	}
-	bound := overMean
-	if b.busy > 0 { // hosts tell how much more they can take
-		bound = math.Max(bound, spreadBusy/b.busy)
+	bound := boundFactor
+	if b.avgBusy > 0 { // hosts tell how much more they can take
+		bound = math.Max(bound, hotKeyBusyLimit/b.avgBusy)
 	}
-	return (b.heat[op.hash%cells] - 1) / b.heatAll * float64(len(b.ready)) / bound
+	return (b.keyCounts[op.keyHash%keyBuckets] - 1) / b.keyCountSum * float64(len(b.readyHosts)) / bound
 }
 
-// near tells whether op keeps to its balancer's zone while a host there has room. From one that failed it, it
+// prefersOwnZone tells whether op keeps to its balancer's zone while a host there has room. From one that failed it, it
 // goes to another zone's first host: there that zone's balancers keep the key.
-func (b *Balancer) near(op *Op) bool { return b.Zone >= 0 && b.Zones > 1 && part(op.hash) >= b.pool }
+func (b *Balancer) prefersOwnZone(op *Op) bool {
+	return b.Zone >= 0 && b.ZoneCount > 1 && hashFraction(op.keyHash) >= b.crossZoneShare
+}
 
-// shut tells whether a host's table of connections was full lately, and none to it is free.
-func (b *Balancer) shut(h *Host) bool { return b.now < h.shutUntil && (!h.open || h.out > 0) }
+// isConnLimited tells whether a host's table of connections was full lately, and none to it is free.
+func (b *Balancer) isConnLimited(h *Host) bool {
+	return b.now < h.connBackoffUntil && (!h.connOpen || h.inFlight > 0)
+}
 
-// mayHaveRun is the first push of op that has run, may have, or may yet; nil where all provably never ran.
-func (op *Op) mayHaveRun() *Push {
-	if i := slices.IndexFunc(op.tried, func(p *Push) bool { return !p.never }); i >= 0 {
-		return op.tried[i]
+// firstPossibleRun is the first push of op that has run, may have, or may yet; nil where all provably never ran.
+func (op *Op) firstPossibleRun() *Push {
+	if i := slices.IndexFunc(op.pushes, func(p *Push) bool { return !p.neverRan }); i >= 0 {
+		return op.pushes[i]
 	}
 	return nil
 }
 
-// allowed tells whether a push of op to h keeps the promise on repeats.
-func allowed(op *Op, h *Host) bool {
-	first := op.mayHaveRun()
+// dedupAllows tells whether a push of op to h keeps the promise on repeats.
+func dedupAllows(op *Op, h *Host) bool {
+	first := op.firstPossibleRun()
 	if first == nil || op.Category.Repeat == Redeliverable {
 		return true
 	}
-	group := op.Category.Group
-	return (group != ZoneHosts || h.Zone == first.Host.Zone) && (group != CellHosts || h.Cell == first.Host.Cell)
+	group := op.Category.DedupScope
+	return (group != DedupZone || h.Zone == first.Host.Zone) && (group != DedupCell || h.Cell == first.Host.Cell)
 }
 
-// repeatable tells whether op may run once more, a margin of time from now.
-func (b *Balancer) repeatable(op *Op, margin float64) bool {
-	first, c := op.mayHaveRun(), op.Category
+// mayRepeat tells whether op may run once more, a margin of time from now.
+func (b *Balancer) mayRepeat(op *Op, margin float64) bool {
+	first, c := op.firstPossibleRun(), op.Category
 	return first == nil || c.Repeat == Redeliverable ||
-		c.Repeat == Deduplicated && b.now < first.sent+c.Window-margin
+		c.Repeat == Deduplicated && b.now < first.sentAt+c.DedupWindow-margin
 }
 
 // mayPush tells whether any further push of op is allowed now, a second copy where one is out.
 func (b *Balancer) mayPush(op *Op) bool {
-	return op.out < 2 && (op.out == 0 || b.MayDuplicate) && len(op.tried) < b.MostPushes &&
-		b.repeatable(op, b.margin())
+	return op.inFlight < 2 && (op.inFlight == 0 || b.AllowHedging) && len(op.pushes) < b.MaxPushes &&
+		b.mayRepeat(op, b.settleMargin())
 }
 
 // mayNack tells whether the client may be told that a repeat is safe.
 func (b *Balancer) mayNack(op *Op) bool {
 	c := op.Category
-	return b.repeatable(op, 0) && (c.Repeat != Deduplicated || c.Group == AllHosts || op.mayHaveRun() == nil)
+	return b.mayRepeat(op, 0) && (c.Repeat != Deduplicated || c.DedupScope == DedupAllHosts || op.firstPossibleRun() == nil)
 }
 
-// Arrive takes a new op.
-func (b *Balancer) Arrive(op *Op) {
-	op.arrived, op.hash = b.now, xxhash.Sum64String(op.Key)
-	op.value = op.Category.Benefit
-	if !b.ByWork {
-		op.value /= op.Category.lat
+// OpArrived takes a new op.
+func (b *Balancer) OpArrived(op *Op) {
+	op.arrivedAt, op.keyHash = b.now, xxhash.Sum64String(op.Key)
+	op.priority = op.Category.Benefit
+	if !b.BenefitPerWork {
+		op.priority /= op.Category.avgLatency
 	}
 	if t := op.Tenant; t != nil {
-		t.tokens = math.Min(t.tokens+t.part*float64(b.served-t.filled), shareLeast)
-		t.filled = b.served
-		if op.paid = t.tokens >= 1; op.paid { // it counts once acked; whoever is furthest behind comes first
-			op.value *= t.tokens
+		t.tokens = math.Min(t.tokens+t.quotaShare*float64(b.ackedCount-t.ackedAtRefill), maxTenantTokens)
+		t.ackedAtRefill = b.ackedCount
+		if op.withinQuota = t.tokens >= 1; op.withinQuota { // it counts once acked; whoever is furthest behind comes first
+			op.priority *= t.tokens
 			t.tokens--
 		} else {
-			op.value *= b.ExcessBenefit
+			op.priority *= b.ExcessBenefit
 		}
 	}
-	b.heat[op.hash%cells]++
-	b.heatAll++
-	b.copies = math.Min(b.copies+copyShare, mostAtOnce)
-	b.tries = math.Min(b.tries+tryShare, mostAtOnce)
-	if b.LeftOff > 0 { // the clocks may differ: a try has its target latency at the least
-		op.Due = math.Max(op.Due, math.Min(op.Due+b.LeftOff, b.now+op.Category.Target+b.margin()))
+	b.keyCounts[op.keyHash%keyBuckets]++
+	b.keyCountSum++
+	b.hedgeTokens = math.Min(b.hedgeTokens+hedgesPerOp, maxTokens)
+	b.probeTokens = math.Min(b.probeTokens+probesPerOp, maxTokens)
+	if b.DeadlineSkew > 0 { // the clocks may differ: a try has its target latency at the least
+		op.Deadline = math.Max(op.Deadline, math.Min(op.Deadline+b.DeadlineSkew, b.now+op.Category.Target+b.settleMargin()))
 	}
-	op.strands[0] = &b.strands[op.hash%cells]
+	op.flows[0] = &b.keyFlows[op.keyHash%keyBuckets]
 	if op.Tenant != nil {
-		op.strands[1] = &op.Tenant.strand
+		op.flows[1] = &op.Tenant.flow
 	}
-	op.until = b.end(op)
-	if op.until <= b.now { // a last try with next to no time left could be lost between two looks
+	op.giveUpAt = b.settleBy(op)
+	if op.giveUpAt <= b.now { // a last try with next to no time left could be lost between two looks
 		b.giveUp(op)
 		return
 	}
-	if op.Category.Tardy == 0 { // a late answer is worth nothing and costs others theirs
-		op.until = math.Min(op.until, b.now+op.Category.Target)
+	if op.Category.LateBenefit == 0 { // a late answer is worth nothing and costs others theirs
+		op.giveUpAt = math.Min(op.giveUpAt, b.now+op.Category.Target)
 	}
-	op.ends.op, op.tried = op, op.first[:0]
-	b.look(&b.ends, &op.ends, op.until)
+	op.giveUpTimer.op, op.pushes = op, op.pushBuf[:0]
+	b.schedule(&b.opTimers, &op.giveUpTimer, op.giveUpAt)
 	if !op.Category.Ordered || op.Key == "" {
 		b.route(op)
 		return
 	}
-	if op.turn = b.turns[op.Key]; op.turn == nil {
-		op.turn = &turn{}
-		op.turn.rest.turn = op.turn
-		b.turns[op.Key] = op.turn
+	if op.keyQueue = b.keyQueues[op.Key]; op.keyQueue == nil {
+		op.keyQueue = &keyQueue{}
+		op.keyQueue.quietTimer.keyQueue = op.keyQueue
+		b.keyQueues[op.Key] = op.keyQueue
 	}
-	if op.turn.line = append(op.turn.line, op); len(op.turn.line) == 1 { // else an earlier one sees to it
-		b.begin(op.turn)
+	if op.keyQueue.ops = append(op.keyQueue.ops, op); len(op.keyQueue.ops) == 1 { // else an earlier one sees to it
+		b.startNext(op.keyQueue)
 	}
 }
 
-// begin sends the first of a key's ordered ops on its way, once all before it are over and the key rested.
-func (b *Balancer) begin(t *turn) {
+// startNext sends the first of a key's ordered ops on its way, once all before it are over and the key rested.
+func (b *Balancer) startNext(t *keyQueue) {
 	switch {
-	case len(t.line) == 0 || t.line[0].state != fresh:
-	case b.now < t.quiet:
-		b.look(&b.ends, &t.rest, t.quiet)
+	case len(t.ops) == 0 || t.ops[0].state != stateNew:
+	case b.now < t.quietUntil:
+		b.schedule(&b.opTimers, &t.quietTimer, t.quietUntil)
 	default:
-		b.route(t.line[0])
+		b.route(t.ops[0])
 	}
 }
 
-// pass takes an op of which nothing more can come out of its key's line, and lets the next have its turn.
-func (b *Balancer) pass(op *Op) {
-	t := op.turn
-	if t == nil || !op.Over() {
+// leaveKeyQueue takes an op of which nothing more can come out of its key's line, and lets the next have its turn.
+func (b *Balancer) leaveKeyQueue(op *Op) {
+	t := op.keyQueue
+	if t == nil || !op.IsDone() {
 		return
 	}
-	op.turn = nil
-	t.line = slices.DeleteFunc(t.line, func(x *Op) bool { return x == op })
-	if len(t.line) == 0 && b.now >= t.quiet {
-		delete(b.turns, op.Key)
+	op.keyQueue = nil
+	t.ops = slices.DeleteFunc(t.ops, func(x *Op) bool { return x == op })
+	if len(t.ops) == 0 && b.now >= t.quietUntil {
+		delete(b.keyQueues, op.Key)
 	}
-	b.begin(t)
+	b.startNext(t)
 }
 
-// end is when an op has to be settled, early enough for the next look to come before its TTL.
-func (b *Balancer) end(op *Op) float64 { return op.Due - b.margin() }
+// settleBy is when an op has to be settled, early enough for the next look to come before its TTL.
+func (b *Balancer) settleBy(op *Op) float64 { return op.Deadline - b.settleMargin() }
 
-func (b *Balancer) margin() float64 { return tick + settleTicks*b.Quantum }
+func (b *Balancer) settleMargin() float64 { return tickInterval + settleMarginQuanta*b.Quantum }
 
 // route sends an op on its ordinary way: writes of an aside fleet to the origin, all else to the cycle.
 // While the key is being fetched a push could only miss, so the op waits. The last push is the origin's,
 // as is the first where hosts are listed and none is ready: held, the op would only be late.
 func (b *Balancer) route(op *Op) {
 	switch f := b.fetches[op.Key]; {
-	case !b.mayPush(op) || b.now+op.Category.lat/2 > op.Due || b.apart(op): // none allowed, or answered in time
-		b.drop(op)
-	case b.Aside && op.Write:
-		b.offer(&b.origin, op)
-	case b.Aside && (f != nil || len(op.tried) == b.MostPushes-1 || len(b.ready) == 0 && len(b.hosts) > 0):
-		b.lead(op)
+	case !b.mayPush(op) || b.now+op.Category.avgLatency/2 > op.Deadline || b.isThrottled(op): // none allowed, or answered in time
+		b.abandonPush(op)
+	case b.CacheAside && op.IsWrite:
+		b.enqueue(&b.originLimiter, op)
+	case b.CacheAside && (f != nil || len(op.pushes) == b.MaxPushes-1 || len(b.readyHosts) == 0 && len(b.hosts) > 0):
+		b.fetchOrWait(op)
 	default:
-		b.offer(&b.fleet, op)
+		b.enqueue(&b.fleetLimiter, op)
 	}
 }
 
-// apart tells whether op is of a strand (a key or a tenant) whose ops come to nothing at hosts that serve
+// isThrottled tells whether op is of a strand (a key or a tenant) whose ops come to nothing at hosts that serve
 // others: a lock behind all hosts, slow readers, or they are at fault themselves. Such ops hold a few places
 // together, so that they take none from others, and are not tried again elsewhere.
-func (b *Balancer) apart(op *Op) bool {
-	room := math.Max(b.fleet.limit, 1)
+func (b *Balancer) isThrottled(op *Op) bool {
+	room := math.Max(b.fleetLimiter.limit, 1)
 	if b.ReplySlots > 0 {
 		room = math.Min(room, float64(b.ReplySlots))
 	}
-	for _, s := range op.strands {
-		if b.off(s) && (len(op.tried) > 0 || float64(s.out) >= math.Max(room*strandPart, 1)) {
+	for _, s := range op.flows {
+		if b.isFailing(s) && (len(op.pushes) > 0 || float64(s.inFlight) >= math.Max(room*failingFlowShare, 1)) {
 			return true
 		}
 	}
 	return false
 }
 
-// off tells whether much more of a strand comes to nothing than of all ops.
-func (b *Balancer) off(s *strand) bool { return s != nil && s.vain > b.all.vain+strandOff }
+// isFailing tells whether much more of a strand comes to nothing than of all ops.
+func (b *Balancer) isFailing(s *flowStats) bool {
+	return s != nil && s.failRate > b.allOps.failRate+flowFailMargin
+}
 
-// strand notes what came of a push of op at a host that is in order as far as is known.
-func (b *Balancer) strand(op *Op, vain float64) {
-	for _, s := range [...]*strand{op.strands[0], op.strands[1], &b.all} {
+// recordFlow notes what came of a push of op at a host that is in order as far as is known.
+func (b *Balancer) recordFlow(op *Op, vain float64) {
+	for _, s := range [...]*flowStats{op.flows[0], op.flows[1], &b.allOps} {
 		if s != nil {
-			s.vain += (vain - s.vain) * latStep
+			s.failRate += (vain - s.failRate) * slowEWMAWeight
 		}
 	}
 }
 
-// lead makes op fetch its key for all that want it, or wait for the fetch that is out.
-func (b *Balancer) lead(op *Op) {
+// fetchOrWait makes op fetch its key for all that want it, or wait for the fetch that is out.
+func (b *Balancer) fetchOrWait(op *Op) {
 	if f := b.fetches[op.Key]; f != nil {
-		b.move(op, held)
+		b.setState(op, stateQueued)
 		f.waiters = append(f.waiters, op)
-		f.value += op.value
+		f.priority += op.priority
 		return
 	}
-	op.fetch = &fetch{value: op.value}
+	op.fetch = &fetch{priority: op.priority}
 	b.fetches[op.Key] = op.fetch
-	b.offer(&b.origin, op)
+	b.enqueue(&b.originLimiter, op)
 }
 
-// offer puts op in line at a gate.
-func (b *Balancer) offer(g *gate, op *Op) {
-	if b.unlucky(g, op) {
-		b.drop(op)
+// enqueue puts op in line at a gate.
+func (b *Balancer) enqueue(g *limiter, op *Op) {
+	if b.isShedByChance(g, op) {
+		b.abandonPush(op)
 		return
 	}
-	b.move(op, held)
-	g.line = append(g.line, op)
-	b.arm(b.now + tick)
-	b.pump(g)
+	b.setState(op, stateQueued)
+	g.queue = append(g.queue, op)
+	b.armTimer(b.now + tickInterval)
+	b.dispatch(g)
 }
 
-// pump lets out what a gate has room for, the best first, and sheds the worst, of equals the last, past that.
-func (b *Balancer) pump(g *gate) {
-	g.line = slices.DeleteFunc(g.line, func(op *Op) bool { return op.state != held })
-	for len(g.line) > 0 && float64(g.out) < math.Max(g.limit, 1) {
-		op := slices.MaxFunc(g.line, func(x, y *Op) int { return cmp.Compare(worth(x), worth(y)) })
-		h := b.target(g, op)
-		if h == nil && op.failed == nil {
+// dispatch lets out what a gate has room for, the best first, and sheds the worst, of equals the last, past that.
+func (b *Balancer) dispatch(g *limiter) {
+	g.queue = slices.DeleteFunc(g.queue, func(op *Op) bool { return op.state != stateQueued })
+	for len(g.queue) > 0 && float64(g.inFlight) < math.Max(g.limit, 1) {
+		op := slices.MaxFunc(g.queue, func(x, y *Op) int { return cmp.Compare(queuePriority(x), queuePriority(y)) })
+		h := b.selectHost(g, op)
+		if h == nil && op.failedHost == nil {
 			break
 		}
 		g.remove(op)
 		if h != nil {
 			b.push(g, op, h)
 		} else { // none but the host that failed it: it must not hold up the line behind it
-			b.drop(op)
+			b.abandonPush(op)
 		}
 	}
-	if g == &b.fleet && len(b.ready) == 0 { // no list yet, or an empty one: hold while there is hope
+	if g == &b.fleetLimiter && len(b.readyHosts) == 0 { // no list yet, or an empty one: hold while there is hope
 		return
 	}
-	for float64(len(g.line)) > math.Max(2, g.limit) {
-		least := slices.MinFunc(g.line, func(x, y *Op) int { return cmp.Or(cmp.Compare(worth(x), worth(y)), -1) })
+	for float64(len(g.queue)) > math.Max(2, g.limit) {
+		least := slices.MinFunc(g.queue, func(x, y *Op) int { return cmp.Or(cmp.Compare(queuePriority(x), queuePriority(y)), -1) })
 		g.remove(least)
-		b.drop(least)
+		b.abandonPush(least)
 	}
 }
 
-// unlucky tells whether chance turns an op away. A limit under one is the part of ops that go out, and more
+// isShedByChance tells whether chance turns an op away. A limit under one is the part of ops that go out, and more
 // of those of more worth: one out at each of some hundred balancers would keep a full origin full.
-func (b *Balancer) unlucky(g *gate, op *Op) bool {
-	g.worth += (worth(op) - g.worth) * hostStep
-	return g.limit < 1 && b.rng.float()*g.worth >= g.limit*worth(op)
+func (b *Balancer) isShedByChance(g *limiter, op *Op) bool {
+	g.avgPriority += (queuePriority(op) - g.avgPriority) * fastEWMAWeight
+	return g.limit < 1 && b.rng.uniform()*g.avgPriority >= g.limit*queuePriority(op)
 }
 
-// target is the host that a gate's op goes to.
-func (b *Balancer) target(g *gate, op *Op) *Host {
-	if g == &b.fleet {
+// selectHost is the host that a gate's op goes to.
+func (b *Balancer) selectHost(g *limiter, op *Op) *Host {
+	if g == &b.fleetLimiter {
 		return b.walk(op)
 	}
 	for _, h := range b.origins {
-		if h.Status == Ready && b.now >= h.restUntil && allowed(op, h) {
+		if h.Status == Ready && b.now >= h.ejectedUntil && dedupAllows(op, h) {
 			return h
 		}
 	}
 	return nil
 }
 
-// drop gives up a push that an op was to have: the op ends with it, unless another is out.
-func (b *Balancer) drop(op *Op) {
-	if op.out == 0 {
+// abandonPush gives up a push that an op was to have: the op ends with it, unless another is out.
+func (b *Balancer) abandonPush(op *Op) {
+	if op.inFlight == 0 {
 		b.giveUp(op)
 		return
 	}
-	b.move(op, out)
-	b.landed(op, false)
+	b.setState(op, statePushed)
+	b.finishFetch(op, false)
 }
 
-func (b *Balancer) push(g *gate, op *Op, h *Host) {
-	b.move(op, out)
-	p := &Push{Op: op, Host: h, Before: op.until - op.Category.lat/2, sent: b.now, gate: g}
-	if first := op.mayHaveRun(); first != nil && op.Category.Repeat == Deduplicated {
-		p.Before = math.Min(p.Before, first.sent+op.Category.Window-b.margin())
-	}
-	p.look.push = p
-	op.tried = append(op.tried, p)
-	op.out++
-	op.count(1)
-	h.out++
-	h.open, h.fresh, h.pushed = true, h.fresh || !h.open, b.now
-	g.out++
-	if h.rest >= restFirst {
-		b.tries = math.Max(b.tries-1, 0)
-	}
-	c, limit := op.Category, op.Due-b.now
-	usual, devs := c.latency, patienceDevs
+func (b *Balancer) push(g *limiter, op *Op, h *Host) {
+	b.setState(op, statePushed)
+	p := &Push{Op: op, Host: h, SendBy: op.giveUpAt - op.Category.avgLatency/2, sentAt: b.now, limiter: g}
+	if first := op.firstPossibleRun(); first != nil && op.Category.Repeat == Deduplicated {
+		p.SendBy = math.Min(p.SendBy, first.sentAt+op.Category.DedupWindow-b.settleMargin())
+	}
+	p.checkTimer.push = p
+	op.pushes = append(op.pushes, p)
+	op.inFlight++
+	op.addInFlight(1)
+	h.inFlight++
+	h.connOpen, h.connUnproven, h.lastPush = true, h.connUnproven || !h.connOpen, b.now
+	g.inFlight++
+	if h.ejectTime >= baseEjectTime {
+		b.probeTokens = math.Max(b.probeTokens-1, 0)
+	}
+	c, limit := op.Category, op.Deadline-b.now
+	usual, devs := c.latencyEWMA, checkDelayDevs
 	switch {
-	case h.Origin:
-		usual = g.latency
+	case h.IsOrigin:
+		usual = g.latencyEWMA
 	case b.warmth(h) < 1:
-		h.budget--
+		h.coldBudget--
 	}
-	if b.MayDuplicate {
-		devs = copyDevs
+	if b.AllowHedging {
+		devs = hedgeDevs
 	}
-	patience := math.Max(usual.lat+devs*usual.dev, c.Target*patienceLeast)
+	patience := math.Max(usual.avgLatency+devs*usual.latencyDev, c.Target*minCheckDelayShare)
 	switch {
-	case b.MayDuplicate && (h.Origin || op.out > 1): // one origin, and two pushes at most
-	case b.MayDuplicate:
-		b.look(&b.looks, &p.look, b.now+math.Min(patience, math.Max(c.lat, c.Target-2*c.lat)))
-	case b.MayCancel:
-		b.look(&b.looks, &p.look, b.now+patience)
+	case b.AllowHedging && (h.IsOrigin || op.inFlight > 1): // one origin, and two pushes at most
+	case b.AllowHedging:
+		b.schedule(&b.pushTimers, &p.checkTimer, b.now+math.Min(patience, math.Max(c.avgLatency, c.Target-2*c.avgLatency)))
+	case b.AllowCancel:
+		b.schedule(&b.pushTimers, &p.checkTimer, b.now+patience)
 	case c.Repeat == Redeliverable:
 		limit = math.Min(limit, patience)
 	}
-	b.port.Push(p, limit)
+	b.frontend.Push(p, limit)
 }
 
-// Went takes word that a push had to wait here for so many ms, and whether a connection is made for it.
-func (b *Balancer) Went(p *Push, wait float64, made bool) { p.waited, p.made = wait, made }
+// PushStarted takes word that a push had to wait here for so many ms, and whether a connection is made for it.
+func (b *Balancer) PushStarted(p *Push, wait float64, made bool) { p.localWait, p.newConn = wait, made }
 
-// impatient looks at a push that has been out for unusually long. A host that has answered others since
+// checkSlowPush looks at a push that has been out for unusually long. A host that has answered others since
 // is at work on a heavy op; one that has answered none is suspect, and the op tries its luck elsewhere.
-func (b *Balancer) impatient(p *Push) {
+func (b *Balancer) checkSlowPush(p *Push) {
 	op := p.Op
-	if b.MayDuplicate {
-		b.copy(p)
+	if b.AllowHedging {
+		b.hedge(p)
 		return
 	}
 	c := op.Category
-	bound := c.Repeat == AtMostOnce || c.Repeat == Deduplicated && c.Group != AllHosts
-	if bound || p.called || len(op.tried) >= b.MostPushes || b.hush(p) || b.lookAgain(p, secondLook) ||
-		p.Host.Origin && p.Host.passed <= p.sent { // the one origin is at work on it all the same
+	bound := c.Repeat == AtMostOnce || c.Repeat == Deduplicated && c.DedupScope != DedupAllHosts
+	if bound || p.cancelled || len(op.pushes) >= b.MaxPushes || b.deferWhileSilent(p) || b.recheckOnce(p, recheckFactor) ||
+		p.Host.IsOrigin && p.Host.newestAnsweredPush <= p.sentAt { // the one origin is at work on it all the same
 		return
 	}
-	p.called = true
-	b.port.Cancel(p)
+	p.cancelled = true
+	b.frontend.Cancel(p)
 }
 
-// lookAgain leaves a push whose host has answered others for some first waits more, once.
-func (b *Balancer) lookAgain(p *Push, waits float64) bool {
-	if p.looked || p.Host.answered <= p.sent {
+// recheckOnce leaves a push whose host has answered others for some first waits more, once.
+func (b *Balancer) recheckOnce(p *Push, waits float64) bool {
+	if p.rechecked || p.Host.lastAnswer <= p.sentAt {
 		return false
 	}
-	p.looked = true
-	b.look(&b.looks, &p.look, b.now+waits*(b.now-p.sent))
+	p.rechecked = true
+	b.schedule(&b.pushTimers, &p.checkTimer, b.now+waits*(b.now-p.sentAt))
 	return true
 }
 
-// hush tells whether nobody has answered since a push was sent, though as many are out as would have half the
+// deferWhileSilent tells whether nobody has answered since a push was sent, though as many are out as would have half the
 // hosts answer. A short while of that is the network's pause, or the machine's, and no host is better.
-func (b *Balancer) hush(p *Push) bool {
-	if b.answered > p.sent || b.now-p.sent > p.Op.Category.Target*hushPart ||
-		2*(b.fleet.out-p.Host.out) < len(b.ready) {
+func (b *Balancer) deferWhileSilent(p *Push) bool {
+	if b.lastAnswer > p.sentAt || b.now-p.sentAt > p.Op.Category.Target*fleetSilenceShare ||
+		2*(b.fleetLimiter.inFlight-p.Host.inFlight) < len(b.readyHosts) {
 		return false
 	}
-	b.look(&b.looks, &p.look, b.now+secondLook*(b.now-p.sent))
+	b.schedule(&b.pushTimers, &p.checkTimer, b.now+recheckFactor*(b.now-p.sentAt))
 	return true
 }
 
-// copy sends a second copy of an op whose push has been out for unusually long, which stays: what comes first
+// hedge sends a second copy of an op whose push has been out for unusually long, which stays: what comes first
 // counts. A host that has answered nobody since is suspect. Copies are few: they crowd slow hosts.
-func (b *Balancer) copy(p *Push) {
+func (b *Balancer) hedge(p *Push) {
 	op, h := p.Op, p.Host
-	if h.answered < p.sent {
-		b.blame(h, TimedOut, b.now-p.sent, failStep)
+	if h.lastAnswer < p.sentAt {
+		b.recordFailure(h, TimedOut, b.now-p.sentAt, failureWeight)
 	}
-	if b.lookAgain(p, copyLook) || op.state != out || op.out > 1 || b.copies < 1 || !b.mayPush(op) {
+	if b.recheckOnce(p, hedgeRecheckFactor) || op.state != statePushed || op.inFlight > 1 || b.hedgeTokens < 1 || !b.mayPush(op) {
 		return
 	}
-	b.copies--
-	op.failed = h
-	b.offer(&b.fleet, op)
+	b.hedgeTokens--
+	op.failedHost = h
+	b.enqueue(&b.fleetLimiter, op)
 }
 
-// Streaming takes word that the answer has begun to flow: TTL and time-outs are over, the host's work is
+// StreamingStarted takes word that the answer has begun to flow: TTL and time-outs are over, the host's work is
 // done. A slow reader must hold no place there or at the gate, nor those who wait for the key.
-func (b *Balancer) Streaming(p *Push) {
-	if op := p.Op; op.state < streaming {
-		op.bound = p
-		b.move(op, streaming)
-		p.gate.out--
-		p.Host.out--
-		b.learn(p, Served, b.now-p.sent)
-		b.landed(op, true)
-		b.pump(p.gate)
+func (b *Balancer) StreamingStarted(p *Push) {
+	if op := p.Op; op.state < stateStreaming {
+		op.streamingPush = p
+		b.setState(op, stateStreaming)
+		p.limiter.inFlight--
+		p.Host.inFlight--
+		b.recordOutcome(p, Served, b.now-p.sentAt)
+		b.finishFetch(op, true)
+		b.dispatch(p.limiter)
 	}
 }
 
-// Left takes word that nobody waits for the op any more.
-func (b *Balancer) Left(op *Op) {
-	if op.state == settled {
+// ClientLeft takes word that nobody waits for the op any more.
+func (b *Balancer) ClientLeft(op *Op) {
+	if op.state == stateSettled {
 		return
 	}
-	b.move(op, settled)
-	b.callOff(op)
-	b.landed(op, false)
-	b.pass(op)
+	b.setState(op, stateSettled)
+	b.cancelPushes(op)
+	b.finishFetch(op, false)
+	b.leaveKeyQueue(op)
 }
 
-// callOff cancels pushes whose answers nobody wants.
-func (b *Balancer) callOff(op *Op) {
-	for _, p := range op.tried {
-		if !p.over && b.MayCancel && !p.called {
-			p.called = true
-			b.port.Cancel(p)
+// cancelPushes cancels pushes whose answers nobody wants.
+func (b *Balancer) cancelPushes(op *Op) {
+	for _, p := range op.pushes {
+		if !p.ended && b.AllowCancel && !p.cancelled {
+			p.cancelled = true
+			b.frontend.Cancel(p)
 		}
 	}
 }
 
-// Ended takes the outcome of a push, and its host's load report or nil. last: nothing more is owed for it.
-func (b *Balancer) Ended(p *Push, o Outcome, spent float64, last bool, r *Report) {
-	op, h, g := p.Op, p.Host, p.gate
-	if p.over {
+// PushEnded takes the outcome of a push, and its host's load report or nil. last: nothing more is owed for it.
+func (b *Balancer) PushEnded(p *Push, o Outcome, spent float64, last bool, r *LoadReport) {
+	op, h, g := p.Op, p.Host, p.limiter
+	if p.ended {
 		return
 	}
-	p.over = true
-	b.looks.Stop(&p.look)
-	p.never = o == Refused || o == Shut || o == NoConn || o == NotSent || o == Missed
-	op.out--
-	op.count(-1)
-	if op.turn != nil && !p.never && o != Served && o != Failed { // it may still run
-		op.turn.quiet = b.now + b.KeyRest
+	p.ended = true
+	b.pushTimers.Stop(&p.checkTimer)
+	p.neverRan = o == Overloaded || o == ConnLimited || o == ConnectFailed || o == NotSent || o == CacheMiss
+	op.inFlight--
+	op.addInFlight(-1)
+	if op.keyQueue != nil && !p.neverRan && o != Served && o != Failed { // it may still run
+		op.keyQueue.quietUntil = b.now + b.KeyQuietTime
 	}
 	switch {
-	case op.bound != p:
-		h.out--
-		g.out--
-		b.learn(p, o, spent)
+	case op.streamingPush != p:
+		h.inFlight--
+		g.inFlight--
+		b.recordOutcome(p, o, spent)
 	case o != Served && o != Cancelled: // it broke midway
-		b.blame(h, o, spent, failStep)
+		b.recordFailure(h, o, spent, failureWeight)
 	}
-	if r != nil && r.Busy >= 0 && !h.Origin {
-		b.reported(h, math.Min(r.Busy, 1))
+	if r != nil && r.Busy >= 0 && !h.IsOrigin {
+		b.recordBusy(h, math.Min(r.Busy, 1))
 	}
-	wrong := o == Rejected || o == Failed && !h.Origin
-	known := wrong && !b.suspect(h)
-	twice := known && op.wrong != nil && op.wrong != h // two agree: it is the op that is wrong
+	wrong := o == InvalidOp || o == Failed && !h.IsOrigin
+	known := wrong && !b.isSuspect(h)
+	twice := known && op.errorHost != nil && op.errorHost != h // two agree: it is the op that is wrong
 	// Or would: an error that is no host's own gets no second push then, nor do a few of hosts that turn bad.
-	alone := known && op.wrong == nil && b.agree > agreeMost && b.rng.float() > agreeTry
+	alone := known && op.errorHost == nil && b.errorRepeatRate > errorRepeatThreshold && b.rng.uniform() > errorRetryShare
 	if wrong {
-		op.wrong = h
+		op.errorHost = h
 	}
 	if twice || alone {
-		b.strand(op, 1)
+		b.recordFlow(op, 1)
 	}
 	if twice {
-		b.agree += (1 - b.agree) * hostStep
+		b.errorRepeatRate += (1 - b.errorRepeatRate) * fastEWMAWeight
 	}
 	switch {
-	case op.state == settled:
-	case last || op.bound == p:
+	case op.state == stateSettled:
+	case last || op.streamingPush == p:
 		if o == Served {
-			b.served++
+			b.ackedCount++
 			op.acked = true
 		}
-		b.move(op, settled)
-		b.landed(op, o == Served)
-	case op.state == streaming || op.state == held: // bound to its other push, or that is on its way
-	case o == Missed && b.Aside && !h.Origin && op.fetch == nil && b.mayPush(op):
-		b.lead(op)
-	case op.out > 0: // its other push may be answered yet
-		if h.Origin {
-			b.landed(op, false)
+		b.setState(op, stateSettled)
+		b.finishFetch(op, o == Served)
+	case op.state == stateStreaming || op.state == stateQueued: // bound to its other push, or that is on its way
+	case o == CacheMiss && b.CacheAside && !h.IsOrigin && op.fetch == nil && b.mayPush(op):
+		b.fetchOrWait(op)
+	case op.inFlight > 0: // its other push may be answered yet
+		if h.IsOrigin {
+			b.finishFetch(op, false)
 		}
-	case twice || alone || b.now >= op.Due-tick:
+	case twice || alone || b.now >= op.Deadline-tickInterval:
 		b.giveUp(op)
-	case o == Refused && !h.Origin && b.crowded(op):
-		if b.origin.pain > b.origin.goal || !b.Aside || !b.mayPush(op) {
+	case o == Overloaded && !h.IsOrigin && b.isShedWhenFull(op):
+		if b.originLimiter.congestion > b.originLimiter.congestionGoal || !b.CacheAside || !b.mayPush(op) {
 			b.giveUp(op)
 		} else {
-			b.lead(op)
+			b.fetchOrWait(op)
 		}
 	case op.fetch != nil && b.mayPush(op): // the origin failed the fetch; its waiters wait on
-		b.offer(g, op)
+		b.enqueue(g, op)
 	// A good host, which may hold the key while others would miss; one with no room for a connection does not.
-	case o == Shut, !b.suspect(h) && (o == Spoilt || o == Stale || o == Cancelled && h.answered > p.sent):
+	case o == ConnLimited, !b.isSuspect(h) && (o == InvalidAnswer || o == StaleConn || o == Cancelled && h.lastAnswer > p.sentAt):
 		b.route(op)
 	default:
-		op.failed = h
+		op.failedHost = h
 		b.route(op)
 	}
-	b.pass(op)
-	b.pump(g)
+	b.leaveKeyQueue(op)
+	b.dispatch(g)
 }
 
-// reported takes how busy a host says it is. Where those of the own zone are busier than the others keys walk
+// recordBusy takes how busy a host says it is. Where those of the own zone are busier than the others keys walk
 // the whole cycle: a zone may have more traffic than its hosts can carry.
-func (b *Balancer) reported(h *Host, busy float64) {
-	b.busy += (busy - b.busy) * latStep
+func (b *Balancer) recordBusy(h *Host, busy float64) {
+	b.avgBusy += (busy - b.avgBusy) * slowEWMAWeight
 	if h.Zone != b.Zone {
-		b.busyFar += (busy - b.busyFar) * originStep
+		b.otherZonesBusy += (busy - b.otherZonesBusy) * mediumEWMAWeight
 		return
 	}
-	b.busyNear += (busy - b.busyNear) * originStep
-	if b.busyNear > math.Max(b.busyFar+farSlack, busyNearLeast) {
-		b.pool = math.Min(1, b.pool+poolStep/2)
+	b.ownZoneBusy += (busy - b.ownZoneBusy) * mediumEWMAWeight
+	if b.ownZoneBusy > math.Max(b.otherZonesBusy+zoneBusyMargin, zoneBusyMin) {
+		b.crossZoneShare = math.Min(1, b.crossZoneShare+crossZoneStep/2)
 	}
 }
 
-// crowded tells whether an op that a host had no room for is to walk no further. Where most hosts have none,
+// isShedWhenFull tells whether an op that a host had no room for is to walk no further. Where most hosts have none,
 // walking on fills those that have, and few are served: a part makes way, more of those of less worth.
-func (b *Balancer) crowded(op *Op) bool {
-	return b.busy > busyAll && b.rng.float()*worth(op) < (b.refused-refusedFrom)/refusedFrom*b.fleet.worth
+func (b *Balancer) isShedWhenFull(op *Op) bool {
+	return b.avgBusy > fleetBusyThreshold && b.rng.uniform()*queuePriority(op) < (b.overloadedRate-overloadedThreshold)/overloadedThreshold*b.fleetLimiter.avgPriority
 }
 
-// learn takes from an outcome what it tells of host and gate.
-func (b *Balancer) learn(p *Push, o Outcome, spent float64) {
-	op, h, g := p.Op, p.Host, p.gate
-	c, bad, suspect, step := op.Category, false, b.suspect(h), failStep
-	few := float64(b.Group) <= crowdGroup // each knows its own part of hits and of full hosts
+// recordOutcome takes from an outcome what it tells of host and gate.
+func (b *Balancer) recordOutcome(p *Push, o Outcome, spent float64) {
+	op, h, g := p.Op, p.Host, p.limiter
+	c, bad, suspect, step := op.Category, false, b.isSuspect(h), failureWeight
+	few := float64(b.GroupSize) <= smallGroupSize // each knows its own part of hits and of full hosts
 	// Pushes turned away are not counted: of a full fleet's they are half, and no measure of what it can do.
-	if (o == Served || o == Missed) && !h.Origin && b.warmth(h) == 1 {
-		b.counted++
-	}
-	if h.fresh && (o == Served || o == Missed) {
-		h.fresh, h.shutWait = false, 0
-		b.keep = math.Min(b.keep*keepGrow, b.ConnIdle)
-		if b.pooled {
-			b.pool = math.Min(1, b.pool+poolFall)
+	if (o == Served || o == CacheMiss) && !h.IsOrigin && b.warmth(h) == 1 {
+		b.warmAnswers++
+	}
+	if h.connUnproven && (o == Served || o == CacheMiss) {
+		h.connUnproven, h.connBackoff = false, 0
+		b.idleTimeout = math.Min(b.idleTimeout*idleTimeoutIncrease, b.ConnIdleTimeout)
+		if b.crossZoneCheap {
+			b.crossZoneShare = math.Min(1, b.crossZoneShare+crossZoneDecay)
 		}
 	}
-	if g == &b.fleet && len(op.tried) > 1 && (o == Served || o == Missed || o == Refused) {
-		b.refused -= b.refused * latStep
-		if o == Refused {
-			b.refused += latStep
+	if g == &b.fleetLimiter && len(op.pushes) > 1 && (o == Served || o == CacheMiss || o == Overloaded) {
+		b.overloadedRate -= b.overloadedRate * slowEWMAWeight
+		if o == Overloaded {
+			b.overloadedRate += slowEWMAWeight
 		}
 	}
 	switch late := spent > c.Target; {
 	case o == Served && !late:
-		b.strand(op, 0)
-	case o == Served || (o == TimedOut || o == Cancelled) && h.answered > p.sent && !op.acked:
-		if b.strand(op, 1); slices.ContainsFunc(op.strands[:], b.off) { // that says nothing of the host
+		b.recordFlow(op, 0)
+	case o == Served || (o == TimedOut || o == Cancelled) && h.lastAnswer > p.sentAt && !op.acked:
+		if b.recordFlow(op, 1); slices.ContainsFunc(op.flows[:], b.isFailing) { // that says nothing of the host
 			return
 		}
 	}
 	switch o {
 	case Served:
-		seen := max(spent, b.Quantum, tick/100) // less than a round can't be told: below it all are alike
+		seen := max(spent, b.Quantum, tickInterval/100) // less than a round can't be told: below it all are alike
 		switch {
-		case p.made:
-			b.making.take(math.Max(spent-c.lat, 0))
-		case g == &b.fleet:
-			b.slowed(h, seen/c.lat)
-			c.take(seen)
+		case p.newConn:
+			b.connSetup.observe(math.Max(spent-c.avgLatency, 0))
+		case g == &b.fleetLimiter:
+			b.recordSlowdown(h, seen/c.avgLatency)
+			c.observe(seen)
 		}
-		g.take(seen)
-		h.answered, b.answered, h.passed = b.now, b.now, math.Max(h.passed, p.sent)
-		if !b.pooled {
-			b.pool -= b.pool * poolFall
+		g.observe(seen)
+		h.lastAnswer, b.lastAnswer, h.newestAnsweredPush = b.now, b.now, math.Max(h.newestAnsweredPush, p.sentAt)
+		if !b.crossZoneCheap {
+			b.crossZoneShare -= b.crossZoneShare * crossZoneDecay
 		}
-	case Missed:
-		h.answered, b.answered = b.now, b.now
+	case CacheMiss:
+		h.lastAnswer, b.lastAnswer = b.now, b.now
 	case Failed: // the op may be at fault: another host has to serve it first
-		bad = h.Origin || !b.mayPush(op)
-	case Broken:
+		bad = h.IsOrigin || !b.mayPush(op)
+	case ConnBroken:
 		bad = true
-	case Spoilt, Stale: // any host closes idle connections, or is at work where it answers: their share tells
-		if bad, step = true, hostStep; o == Spoilt {
-			h.answered = b.now
+	case InvalidAnswer, StaleConn: // any host closes idle connections, or is at work where it answers: their share tells
+		if bad, step = true, fastEWMAWeight; o == InvalidAnswer {
+			h.lastAnswer = b.now
 		}
-	case NoConn:
-		b.fell(h)
-		bad, h.open, h.fresh = true, false, false
-		if !h.Origin {
-			b.keep = math.Max(b.keep*keepCut, tick)
+	case ConnectFailed:
+		b.noteHostDown(h)
+		bad, h.connOpen, h.connUnproven = true, false, false
+		if !h.IsOrigin {
+			b.idleTimeout = math.Max(b.idleTimeout*idleTimeoutDecrease, tickInterval)
 		}
-	case Shut: // of many balancers most are turned away: asked at fewer hosts, a key meets the same connections
-		h.open, h.fresh = h.open && !h.fresh, false
-		h.shutWait = math.Min(math.Max(h.shutWait*2, shutFirst), shutLongest)
-		h.shutUntil = b.now + h.shutWait*(0.5+b.rng.float())
-		b.pool = math.Max(0, b.pool-poolStep)
-	case Refused: // a host that others fill is no bad host; the op walks on
-		if bad = h.Origin; !bad && !few {
-			b.slowed(h, refusedSlow)
+	case ConnLimited: // of many balancers most are turned away: asked at fewer hosts, a key meets the same connections
+		h.connOpen, h.connUnproven = h.connOpen && !h.connUnproven, false
+		h.connBackoff = math.Min(math.Max(h.connBackoff*2, baseConnBackoff), maxConnBackoff)
+		h.connBackoffUntil = b.now + h.connBackoff*(0.5+b.rng.uniform())
+		b.crossZoneShare = math.Max(0, b.crossZoneShare-crossZoneStep)
+	case Overloaded: // a host that others fill is no bad host; the op walks on
+		if bad = h.IsOrigin; !bad && !few {
+			b.recordSlowdown(h, overloadedSlowdown)
 		}
 	case TimedOut, Cancelled:
-		bad = h.answered < p.sent
-		switch known := g == &b.fleet && spent > c.lat && !suspect; { // else only the quick would count as usual
-		case known && p.made:
-			b.making.take(spent - c.lat)
+		bad = h.lastAnswer < p.sentAt
+		switch known := g == &b.fleetLimiter && spent > c.avgLatency && !suspect; { // else only the quick would count as usual
+		case known && p.newConn:
+			b.connSetup.observe(spent - c.avgLatency)
 		case known:
-			c.take(spent)
+			c.observe(spent)
 		}
 	}
-	if (o == Served || o == Missed) && op.wrong != nil { // another host takes the op: it is not the one to blame
-		b.blame(op.wrong, o, spent, failStep)
-		b.agree -= b.agree * hostStep
-		op.wrong = nil
+	if (o == Served || o == CacheMiss) && op.errorHost != nil { // another host takes the op: it is not the one to blame
+		b.recordFailure(op.errorHost, o, spent, failureWeight)
+		b.errorRepeatRate -= b.errorRepeatRate * fastEWMAWeight
+		op.errorHost = nil
 	}
 	switch {
-	case o == NotSent || o == Cancelled && op.state == settled:
+	case o == NotSent || o == Cancelled && op.state == stateSettled:
 	case bad:
-		b.blame(h, o, spent, step)
-	case o == Served || o == Missed:
-		if h.rest >= restFirst { // it is well again: that cost nothing
-			b.tries++
+		b.recordFailure(h, o, spent, step)
+	case o == Served || o == CacheMiss:
+		if h.ejectTime >= baseEjectTime { // it is well again: that cost nothing
+			b.probeTokens++
 		}
-		h.fail -= h.fail * hostStep
-		if !b.suspect(h) {
-			h.rest = 0
+		h.failRate -= h.failRate * fastEWMAWeight
+		if !b.isSuspect(h) {
+			h.ejectTime = 0
 		}
 	}
 	// A gate that narrowed for hosts already known as silent would shut out what the others could serve.
-	if o == Missed && (few || b.origin.limit < originOwn) || o == NotSent || o == Spoilt || o == Stale ||
-		o == Rejected || o == Broken || o == Shut ||
-		!h.Origin && (o == NoConn || o == Refused || o == Failed || suspect) {
+	if o == CacheMiss && (few || b.originLimiter.limit < originMinInitialLimit) || o == NotSent || o == InvalidAnswer || o == StaleConn ||
+		o == InvalidOp || o == ConnBroken || o == ConnLimited ||
+		!h.IsOrigin && (o == ConnectFailed || o == Overloaded || o == Failed || suspect) {
 		return
 	}
-	pain, cut := spent/c.Target, gateCut
-	if op.Write { // it comes on top of no miss: what is usual for it would shut the origin's gate
-		pain *= originGoal / gateGoal
+	pain, cut := spent/c.Target, limitDecrease
+	if op.IsWrite { // it comes on top of no miss: what is usual for it would shut the origin's gate
+		pain *= originCongestionGoal / fleetCongestionGoal
 	}
-	g.told = b.now
+	g.lastOutcome = b.now
 	switch {
-	case o == Served || o == Missed:
+	case o == Served || o == CacheMiss:
 	// Its connection is dead or the op is heavy, as the host answers others; or the client went away first.
-	case (o == TimedOut || o == Cancelled) && h.answered > p.sent,
-		o == Cancelled && op.state == settled && pain < g.goal:
+	case (o == TimedOut || o == Cancelled) && h.lastAnswer > p.sentAt,
+		o == Cancelled && op.state == stateSettled && pain < g.congestionGoal:
 		return
 	default:
-		pain = math.Max(pain, 2*g.goal)
-		if h.Origin && b.now-h.answered > c.Target { // it stands full: what waits there for long comes to nothing
-			pain, cut = math.Max(pain, fullPain), fullCut
+		pain = math.Max(pain, 2*g.congestionGoal)
+		if h.IsOrigin && b.now-h.lastAnswer > c.Target { // it stands full: what waits there for long comes to nothing
+			pain, cut = math.Max(pain, originFullCongestion), originFullDecrease
 		}
 	}
-	if g == &b.origin && pain > g.goal && !b.pooled {
-		b.pool = math.Min(1, b.pool+poolStep)
+	if g == &b.originLimiter && pain > g.congestionGoal && !b.crossZoneCheap {
+		b.crossZoneShare = math.Min(1, b.crossZoneShare+crossZoneStep)
 	}
-	if step = g.step; g.limit < 1 { // of few outcomes each tells more
-		step = fewStep
+	if step = g.congestionWeight; g.limit < 1 { // of few outcomes each tells more
+		step = fewOutcomesWeight
 	}
-	g.pain += (pain - g.pain) * step
+	g.congestion += (pain - g.congestion) * step
 	switch {
 	// Timely answers do not narrow it: a heavy op, smoothed over for long, would be paid for with each of them.
-	case g.pain > g.goal && pain > g.goal && b.now >= g.cutAt:
-		least := g.floor
-		if g.pain <= chancePain {
+	case g.congestion > g.congestionGoal && pain > g.congestionGoal && b.now >= g.nextDecrease:
+		least := g.minLimit
+		if g.congestion <= randomShedCongestion {
 			least = math.Max(least, 1)
 		}
-		g.limit = math.Max(math.Min(g.limit, least), math.Min(g.limit, float64(g.out+1))*cut)
-		g.cutAt = b.now + gatePause
-	case g.pain < patienceLeast && float64(g.out+1) > g.limit/2: // there is no queue
+		g.limit = math.Max(math.Min(g.limit, least), math.Min(g.limit, float64(g.inFlight+1))*cut)
+		g.nextDecrease = b.now + limitDecreaseInterval
+	case g.congestion < minCheckDelayShare && float64(g.inFlight+1) > g.limit/2: // there is no queue
 		g.limit++
-	case g.pain < g.goal && float64(g.out+1) > g.limit/2:
+	case g.congestion < g.congestionGoal && float64(g.inFlight+1) > g.limit/2:
 		g.limit += math.Min(1/g.limit, g.limit) // from next to none it doubles
 	}
 }
 
-// blame counts a failure against a host, and takes it off the walk for a while once it is suspect.
-func (b *Balancer) blame(h *Host, o Outcome, spent, step float64) {
-	h.fail += (1 - h.fail) * step
-	if !b.suspect(h) || b.now < h.restUntil || h.Origin && o != Refused {
+// recordFailure counts a failure against a host, and takes it off the walk for a while once it is suspect.
+func (b *Balancer) recordFailure(h *Host, o Outcome, spent, step float64) {
+	h.failRate += (1 - h.failRate) * step
+	if !b.isSuspect(h) || b.now < h.ejectedUntil || h.IsOrigin && o != Overloaded {
 		return
 	}
-	h.rest = math.Min(math.Max(h.rest*2, restFirst), restLongest)
-	if o == NoConn { // the host may just be full of connections, and a quick try costs little
-		h.rest = math.Min(h.rest, restCost*spent)
+	h.ejectTime = math.Min(math.Max(h.ejectTime*2, baseEjectTime), maxEjectTime)
+	if o == ConnectFailed { // the host may just be full of connections, and a quick try costs little
+		h.ejectTime = math.Min(h.ejectTime, ejectConnectMultiple*spent)
 	}
-	if h.Origin {
-		h.rest = gatePause
+	if h.IsOrigin {
+		h.ejectTime = limitDecreaseInterval
 	}
-	h.restUntil = b.now + h.rest
-	b.countResting()
+	h.ejectedUntil = b.now + h.ejectTime
+	b.countEjected()
 }
 
-// slowed takes the latency of a push, in usual ones, as a sign of how crowded its host is.
-func (b *Balancer) slowed(h *Host, ratio float64) {
-	h.slow += (ratio - h.slow) * hostStep
-	b.usual += (ratio - b.usual) * latStep
+// recordSlowdown takes the latency of a push, in usual ones, as a sign of how crowded its host is.
+func (b *Balancer) recordSlowdown(h *Host, ratio float64) {
+	h.slowdown += (ratio - h.slowdown) * fastEWMAWeight
+	b.avgSlowdown += (ratio - b.avgSlowdown) * slowEWMAWeight
 }
 
-// landed ends the fetch that op led. Those that waited go on; after a failure the first that may fetches.
-func (b *Balancer) landed(op *Op, served bool) {
+// finishFetch ends the fetch that op led. Those that waited go on; after a failure the first that may fetches.
+func (b *Balancer) finishFetch(op *Op, served bool) {
 	f := op.fetch
 	if f == nil {
 		return
 	}
 	op.fetch = nil
 	delete(b.fetches, op.Key)
-	waiters := slices.DeleteFunc(f.waiters, func(w *Op) bool { return w.state != held })
+	waiters := slices.DeleteFunc(f.waiters, func(w *Op) bool { return w.state != stateQueued })
 	if !served { // passed on whole: one by one the waiters would weigh too little to hold a place in line
 		for len(waiters) > 0 {
 			next := waiters[0]
 			waiters = waiters[1:]
 			if !b.mayPush(next) {
-				b.drop(next)
+				b.abandonPush(next)
 				continue
 			}
-			next.fetch = &fetch{waiters: waiters, value: f.value - op.value}
+			next.fetch = &fetch{waiters: waiters, priority: f.priority - op.priority}
 			b.fetches[op.Key] = next.fetch
-			b.offer(&b.origin, next)
+			b.enqueue(&b.originLimiter, next)
 			return
 		}
 	}
@@ -1255,34 +1263,34 @@
 
 // giveUp settles an op unserved, at once: with a nack where a repeat is safe, else a dead letter.
 func (b *Balancer) giveUp(op *Op) {
-	if op.state == settled {
+	if op.state == stateSettled {
 		return
 	}
 	nack := b.mayNack(op)
-	b.move(op, settled)
+	b.setState(op, stateSettled)
 	if nack { // the client is to come back after the time a line takes to clear, spread
-		b.port.Nack(op, b.backoff(op.Category.Target))
+		b.frontend.Nack(op, b.backoff(op.Category.Target))
 	} else {
-		b.port.DeadLetter(op)
+		b.frontend.DeadLetter(op)
 	}
-	b.callOff(op)
-	b.landed(op, false)
-	b.pass(op)
+	b.cancelPushes(op)
+	b.finishFetch(op, false)
+	b.leaveKeyQueue(op)
 }
 
 func (b *Balancer) backoff(target float64) float64 {
-	return math.Min(b.MaxBackoff, target/2*(1+b.rng.float()))
+	return math.Min(b.MaxBackoff, target/2*(1+b.rng.uniform()))
 }
 
-// move is the one place where an op changes state. A settled op stays settled.
-func (b *Balancer) move(op *Op, to state) {
-	if op.state == settled || op.state == streaming && to != settled {
+// setState is the one place where an op changes state. A settled op stays settled.
+func (b *Balancer) setState(op *Op, to opState) {
+	if op.state == stateSettled || op.state == stateStreaming && to != stateSettled {
 		return
 	}
-	if op.state = to; to >= streaming {
-		b.ends.Stop(&op.ends)
+	if op.state = to; to >= stateStreaming {
+		b.opTimers.Stop(&op.giveUpTimer)
 	}
-	if to == settled && op.paid && !op.acked {
+	if to == stateSettled && op.withinQuota && !op.acked {
 		op.Tenant.tokens++
 	}
 }
--- a/balance/blame_test.go
+++ b/balance/blame_test.go
@@ -8,7 +8,7 @@
 // fail of itself meanwhile, these soon tell.
 func Example_errorsOfOps() {
 	x := open(start(), "a", "b", "c", "d")
-	before := x.fleet.limit
+	before := x.fleetLimiter.limit
 	x.ask("bad", 0, "page", 500, false)
 	x.end("bad", Failed, 1)
 	x.end("bad", Failed, 1)
@@ -22,8 +22,8 @@
 		}
 		x.after(5)
 	}
-	_, avoided := x.Hosts()
-	fmt.Println("avoided:", avoided, "gate narrowed:", x.fleet.limit < before, "pushes of 40 such ops:", pushes)
+	_, avoided := x.HostCounts()
+	fmt.Println("avoided:", avoided, "gate narrowed:", x.fleetLimiter.limit < before, "pushes of 40 such ops:", pushes)
 	lost := 0
 	for i := 0; avoided == 0; i++ {
 		op := x.ask(fmt.Sprint("good", i), 0, "page", 500, false)
@@ -34,7 +34,7 @@
 			lost++
 		}
 		x.after(5)
-		_, avoided = x.Hosts()
+		_, avoided = x.HostCounts()
 	}
 	fmt.Println("avoided:", avoided, "ops given up before:", lost)
 	// Output:
@@ -55,13 +55,13 @@
 		name := fmt.Sprint("op", n)
 		for p := at(x.ask(name, 0, name, 500, false)); p != nil; p = at(p.Op) {
 			if p.Host.Name == "f" || p.Host.Name != "a" && n%3 == 0 {
-				x.over(p, Broken, 5)
+				x.over(p, ConnBroken, 5)
 				continue
 			}
 			x.over(p, Served, 5)
 		}
 		x.after(5)
-		_, avoided := x.Hosts()
+		_, avoided := x.HostCounts()
 		all += float64(avoided)
 	}
 	fmt.Printf("avoided of six: %.1f; pushes to the worst: %v\n", all/2000, x.pushes["f"])
@@ -87,8 +87,8 @@
 	x.silent = true
 	x.after(10)
 	fmt.Println("hosts of three ops:", spread())
-	h := x.ask("fallen", 0, "page", 500, false).tried[0].Host
-	x.end("fallen", NoConn, 1) // it answered a moment ago
+	h := x.ask("fallen", 0, "page", 500, false).pushes[0].Host
+	x.end("fallen", ConnectFailed, 1) // it answered a moment ago
 	x.end("fallen", Served, 1)
 	x.after(1000)
 	fmt.Println("after a fall:", spread())
@@ -153,10 +153,10 @@
 // A slow fetch is not called off: the one origin is at work on it all the same, and would only be asked again.
 func Example_slowFetch() {
 	s := start()
-	s.Aside = true
+	s.CacheAside = true
 	x := open(s, "a", "b", "origin")
 	x.ask("op", 0, "page", 500, false)
-	x.end("op", Missed, 1)
+	x.end("op", CacheMiss, 1)
 	x.after(400)
 	x.end("op", Served, 400)
 	// Output:
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -12,16 +12,16 @@
 	for range 60 {
 		x.after(4000)
 		x.ask("full", 0, "page", 500, false)
-		x.end("full", NoConn, 5)
+		x.end("full", ConnectFailed, 5)
 		x.end("full", Served, 5)
 	}
-	fmt.Printf("60 failed connects: idle ones are kept %.0f ms\n", x.keep)
+	fmt.Printf("60 failed connects: idle ones are kept %.0f ms\n", x.idleTimeout)
 	for i := range 40 {
 		x.ask("op", 0, fmt.Sprint("key", i), 500, false)
 		x.end("op", Served, 5)
 		x.after(400)
 	}
-	fmt.Printf("with room again: %.0f ms\n", x.keep)
+	fmt.Printf("with room again: %.0f ms\n", x.idleTimeout)
 	// Output:
 	// 60 failed connects: idle ones are kept 484 ms
 	// with room again: 2998 ms
@@ -33,11 +33,11 @@
 func Example_fullTable() {
 	x := open(start(), "a", "b", "c")
 	x.ask("first", 0, "page", 500, false)
-	x.end("first", Shut, 2)
+	x.end("first", ConnLimited, 2)
 	x.end("first", Served, 10)
 	x.ask("next", 0, "page", 500, false)
 	x.end("next", Served, 10)
-	fmt.Println("suspect:", x.hosts["a"].fail+x.hosts["b"].fail+x.hosts["c"].fail > 0)
+	fmt.Println("suspect:", x.hosts["a"].failRate+x.hosts["b"].failRate+x.hosts["c"].failRate > 0)
 	x.after(1600)
 	x.ask("later", 0, "page", 500, false)
 	x.end("later", Served, 10) // with that a connection to it is open
@@ -59,8 +59,8 @@
 	x := open(start(), "a", "b")
 	for _, name := range []string{"one", "two"} {
 		x.ask(name, 0, "page", 500, false)
-		x.end(name, Shut, 2)
-		x.end(name, Shut, 2)
+		x.end(name, ConnLimited, 2)
+		x.end(name, ConnLimited, 2)
 	}
 	x.end("two", Served, 10)
 	// Output:
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -38,56 +38,56 @@
 
 // Push implements Port, as do the methods below. What comes of a push is drawn as it is sent.
 func (d *play) Push(p *Push, limit float64) {
-	d.note("push %v to %s, %.3f, %.3f", p.Op.Ref, p.Host.Name, limit, p.Before)
+	d.note("push %v to %s, %.3f, %.3f", p.Op.Ref, p.Host.Name, limit, p.SendBy)
 	x, spent := d.rng.Float64(), 2+d.rng.ExpFloat64()*15
 	o := Served
 	switch bad := p.Host.Size > 1.5; { // large hosts are the bad ones of the day
-	case !p.Host.Origin && !p.Op.Write && d.Aside && x < 0.25:
-		o = Missed
+	case !p.Host.IsOrigin && !p.Op.IsWrite && d.CacheAside && x < 0.25:
+		o = CacheMiss
 	case bad && x < 0.5:
-		o = []Outcome{Failed, Refused, Broken, NoConn, Stale, Spoilt, Shut}[d.rng.IntN(7)]
+		o = []Outcome{Failed, Overloaded, ConnBroken, ConnectFailed, StaleConn, InvalidAnswer, ConnLimited}[d.rng.IntN(7)]
 	case bad && x < 0.6:
 		spent = math.Inf(1)
 	case x > 0.97:
-		o = []Outcome{Refused, Failed, NoConn}[d.rng.IntN(3)]
+		o = []Outcome{Overloaded, Failed, ConnectFailed}[d.rng.IntN(3)]
 	}
 	if spent > limit {
 		o, spent = TimedOut, limit
 	}
 	d.later(spent, func() {
-		if p.over || p.called {
+		if p.ended || p.cancelled {
 			return
 		}
 		if o == Served && d.rng.Float64() < 0.02 {
-			d.Streaming(p)
-			d.later(20, func() { d.Ended(p, Served, spent, true, nil) })
+			d.StreamingStarted(p)
+			d.later(20, func() { d.PushEnded(p, Served, spent, true, nil) })
 			return
 		}
-		var r *Report
-		if d.MayDuplicate {
-			r = &Report{Busy: d.rng.Float64()}
+		var r *LoadReport
+		if d.AllowHedging {
+			r = &LoadReport{Busy: d.rng.Float64()}
 		}
-		d.Ended(p, o, spent, o == Served || p.Op.state == settled, r)
+		d.PushEnded(p, o, spent, o == Served || p.Op.state == stateSettled, r)
 	})
 }
 
 func (d *play) Cancel(p *Push) {
 	d.note("cancel %v", p.Op.Ref)
 	d.later(0, func() {
-		if !p.over {
-			d.Ended(p, Cancelled, d.t-p.sent, p.Op.state == settled, nil)
+		if !p.ended {
+			d.PushEnded(p, Cancelled, d.t-p.sentAt, p.Op.state == stateSettled, nil)
 		}
 	})
 }
 func (d *play) Nack(op *Op, backoff float64) { d.note("nack %v, %.3f", op.Ref, backoff) }
 func (d *play) DeadLetter(op *Op)            { d.note("dead-letter %v", op.Ref) }
-func (d *play) Wake(after float64)           { d.wake = d.t + after }
-func (d *play) HangUp(h *Host)               { d.note("hang up %s", h.Name) }
-func (d *play) Watch() {
+func (d *play) SetTimer(after float64)       { d.wake = d.t + after }
+func (d *play) CloseIdleConns(h *Host)       { d.note("hang up %s", h.Name) }
+func (d *play) SubscribeHostList() {
 	d.note("watch")
 	d.later(d.rng.Float64()*300, func() {
 		if d.rng.Float64() < 0.3 {
-			d.ListFailed()
+			d.HostListFailed()
 			return
 		}
 		d.list(true)
@@ -96,14 +96,14 @@
 
 // list tells of all hosts, or of one that has changed.
 func (d *play) list(whole bool) {
-	var entries []Entry
+	var entries []HostEntry
 	for i, h := range d.hosts {
 		l := Listing{Zone: i % 2, Cell: i % 3, Size: 1, UpSince: h.UpSince, Status: h.Status}
 		if i%5 == 4 {
 			l.Size = 2
 		}
 		if !whole {
-			if d.rng.IntN(len(d.hosts)) != 0 || h.Origin {
+			if d.rng.IntN(len(d.hosts)) != 0 || h.IsOrigin {
 				continue
 			}
 			switch d.rng.IntN(4) {
@@ -115,26 +115,26 @@
 				l.Status, l.UpSince = Ready, d.t
 			}
 		}
-		entries = append(entries, Entry{h, l})
+		entries = append(entries, HostEntry{h, l})
 	}
-	d.List(entries, whole, false)
+	d.HostsListed(entries, whole, false)
 }
 
 // digest plays a day and tells what came of it.
-func digest(s Start, seed uint64, change func(d *play, ms int)) string {
+func digest(s Config, seed uint64, change func(d *play, ms int)) string {
 	hash := fnv.New64a()
 	d := &play{rng: rand.New(rand.NewPCG(seed, 7)), hash: hash, count: map[string]int{}, wake: math.Inf(1)}
 	for i := range 10 {
 		d.hosts = append(d.hosts, &Host{Name: fmt.Sprint("host", i)})
 	}
-	if s.Aside {
-		d.hosts = append(d.hosts, &Host{Name: "origin", Origin: true})
+	if s.CacheAside {
+		d.hosts = append(d.hosts, &Host{Name: "origin", IsOrigin: true})
 	}
-	s.Seed, s.OnRequest = seed, true
+	s.Seed, s.ListOnRequest = seed, true
 	d.Balancer = New(s, d, 0)
 	for ms := range 12000 {
 		d.t = float64(ms)
-		d.At(d.t)
+		d.Advance(d.t)
 		for i := 0; i < len(d.due); {
 			if x := d.due[i]; x.at <= d.t {
 				d.due = append(d.due[:i], d.due[i+1:]...)
@@ -152,24 +152,24 @@
 		for range poisson(d.rng, 0.5+0.4*math.Sin(d.t/2000)) {
 			row := d.rng.IntN(len(s.Categories))
 			op := &Op{Ref: len(d.open), Category: s.Categories[row], Key: fmt.Sprint("key", int(d.rng.ExpFloat64()*30)),
-				Due: d.t + 100 + d.rng.Float64()*400, Write: row > 0}
+				Deadline: d.t + 100 + d.rng.Float64()*400, IsWrite: row > 0}
 			if len(s.Tenants) > 0 {
 				op.Tenant = s.Tenants[d.rng.IntN(len(s.Tenants))]
 			}
 			d.open = append(d.open, op)
-			if room, _ := d.Room(); room {
-				d.Arrive(op)
+			if room, _ := d.Admit(); room {
+				d.OpArrived(op)
 			}
 			if d.rng.Float64() < 0.05 {
 				d.later(d.rng.Float64()*100, func() {
-					if op.state != settled {
-						d.Left(op)
+					if op.state != stateSettled {
+						d.ClientLeft(op)
 					}
 				})
 			}
 		}
 		if d.t >= d.wake {
-			d.Woke()
+			d.TimerFired()
 		}
 	}
 	n := 0
@@ -181,38 +181,38 @@
 
 func Example_decisions() {
 	aside := start()
-	aside.Aside = true
+	aside.CacheAside = true
 	fmt.Println("fetched beside:", digest(aside, 1, nil))
 
 	twice := start()
-	twice.MayDuplicate, twice.Zones, twice.CrossCost, twice.FetchCost, twice.ByWork = true, 2, 0.1, 0.05, true
+	twice.AllowHedging, twice.ZoneCount, twice.CrossZoneCost, twice.FetchCost, twice.BenefitPerWork = true, 2, 0.1, 0.05, true
 	fmt.Println("second copies and zones:", digest(twice, 2, nil))
 
 	shared := start()
 	shared.Tenants = []*Tenant{{Quota: 100}, {Quota: 20}, {Quota: 5}}
-	shared.Categories[0].Ordered, shared.KeyRest, shared.ReplySlots, shared.Group = true, 50, 20, 30
+	shared.Categories[0].Ordered, shared.KeyQuietTime, shared.ReplySlots, shared.GroupSize = true, 50, 20, 30
 	fmt.Println("tenants, order, many balancers:", digest(shared, 3, nil))
 
 	stood := start()
-	stood.Aside, stood.MayCancel, stood.LeftOff, stood.StampDoubt = true, false, 30, 100
+	stood.CacheAside, stood.AllowCancel, stood.DeadlineSkew, stood.UpSinceSkew = true, false, 30, 100
 	fmt.Println("bans, stalls, an heir:", digest(stood, 4, func(d *play, ms int) {
 		switch ms {
 		case 2000:
-			d.Ban(d.hosts[3], true)
+			d.SetBanned(d.hosts[3], true)
 		case 4000:
-			d.Ban(d.hosts[3], false)
-			d.Yield(true)
+			d.SetBanned(d.hosts[3], false)
+			d.YieldColdHosts(true)
 		case 5000:
-			d.Yield(false)
+			d.YieldColdHosts(false)
 			for _, part := range d.Learned().Split(4) {
-				d.Resume(part)
+				d.Restore(part)
 			}
 		case 6000, 6100, 6200:
-			d.Behind(400)
+			d.ReportInputWait(400)
 		case 7000:
-			d.ListMoved()
+			d.HostListMoved()
 		case 11500:
-			d.Close()
+			d.StopAdmitting()
 		}
 	}))
 	// Output:
--- a/balance/fairness_test.go
+++ b/balance/fairness_test.go
@@ -19,16 +19,16 @@
 		if i%10 == 0 {
 			t = small
 		}
-		op := &Op{Category: x.Categories[0], Tenant: t, Key: "page", Due: x.t + 500}
-		x.Arrive(op)
+		op := &Op{Category: x.Categories[0], Tenant: t, Key: "page", Deadline: x.t + 500}
+		x.OpArrived(op)
 		if outs = append(outs, op); i%3 != 0 {
 			continue
 		}
-		for len(outs) > 0 && outs[0].out == 0 {
+		for len(outs) > 0 && outs[0].inFlight == 0 {
 			outs = outs[1:]
 		}
 		if len(outs) > 0 {
-			x.Ended(at(outs[0]), Served, x.t-at(outs[0]).sent, true, nil)
+			x.PushEnded(at(outs[0]), Served, x.t-at(outs[0]).sentAt, true, nil)
 			served[outs[0].Tenant]++
 		}
 	}
@@ -41,19 +41,19 @@
 // than its fellows once took all tenants for greedy. One that sends three times what the other does is found out in time.
 func Example_tenantOfMany() {
 	s := start()
-	s.Group = 100
+	s.GroupSize = 100
 	fair, heavy := &Tenant{Quota: 100}, &Tenant{Quota: 100}
 	s.Tenants = []*Tenant{fair, heavy}
 	x := open(s, "a", "b")
 	x.silent = true
 	within := map[*Tenant]int{}
 	ask := func(t *Tenant) {
-		op := &Op{Category: x.Categories[0], Tenant: t, Due: x.t + 500}
-		if x.Arrive(op); op.value >= 1/op.Category.lat {
+		op := &Op{Category: x.Categories[0], Tenant: t, Deadline: x.t + 500}
+		if x.OpArrived(op); op.priority >= 1/op.Category.avgLatency {
 			within[t]++
 		}
 		if p := at(op); p != nil {
-			x.Ended(p, Served, 5, true, nil)
+			x.PushEnded(p, Served, 5, true, nil)
 		}
 	}
 	for range 10 {
@@ -78,15 +78,15 @@
 	s.Tenants = []*Tenant{greedy, modest}
 	x := open(s, "a")
 	arrive := func(t *Tenant, o Outcome) *Op {
-		op := &Op{Category: x.Categories[0], Tenant: t, Due: x.t + 500}
-		x.Arrive(op)
-		x.Ended(at(op), o, 5, true, nil)
+		op := &Op{Category: x.Categories[0], Tenant: t, Deadline: x.t + 500}
+		x.OpArrived(op)
+		x.PushEnded(at(op), o, 5, true, nil)
 		return op
 	}
 	x.silent = true
 	within := 0
 	for range 20 {
-		if arrive(modest, TimedOut).paid {
+		if arrive(modest, TimedOut).withinQuota {
 			within++
 		}
 	}
@@ -94,7 +94,7 @@
 	for range 5 {
 		arrive(greedy, Served)
 	}
-	fmt.Println("modest first:", arrive(modest, Served).value > arrive(greedy, Served).value)
+	fmt.Println("modest first:", arrive(modest, Served).priority > arrive(greedy, Served).priority)
 	// Output:
 	// of 20 that came to nothing, within the share: 20
 	// modest first: true
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -7,7 +7,7 @@
 
 func aside() *scene {
 	s := start()
-	s.Aside = true
+	s.CacheAside = true
 	return open(s, "a", "b", "c", "origin")
 }
 
@@ -15,7 +15,7 @@
 func Example_sharedFetch() {
 	x := aside()
 	x.ask("op0", 0, "page", 500, false)
-	x.end("op0", Missed, 1)
+	x.end("op0", CacheMiss, 1)
 	x.ask("op1", 0, "page", 500, false)
 	x.ask("op2", 0, "page", 500, false)
 	x.end("op0", Served, 20)
@@ -33,10 +33,10 @@
 func Example_fetchPassedOn() {
 	x := aside()
 	x.ask("op0", 0, "page", 500, false)
-	x.end("op0", Missed, 1)
+	x.end("op0", CacheMiss, 1)
 	x.ask("op1", 0, "page", 500, false)
 	x.ask("op2", 0, "page", 500, false)
-	x.Left(x.ops["op0"])
+	x.ClientLeft(x.ops["op0"])
 	x.end("op1", Served, 20)
 	// Output:
 	// 0 push op0 to c
@@ -51,8 +51,8 @@
 func Example_lastPushIsOrigins() {
 	x := aside()
 	x.ask("op0", 0, "page", 500, false)
-	x.end("op0", Refused, 1)
-	x.end("op0", Refused, 1)
+	x.end("op0", Overloaded, 1)
+	x.end("op0", Overloaded, 1)
 	x.end("op0", Served, 20)
 	// Output:
 	// 0 push op0 to c
@@ -68,7 +68,7 @@
 		x.silent = i < 58
 		name := fmt.Sprint("miss", i)
 		x.ask(name, 0, name, 500, false)
-		x.end(name, Missed, 1)
+		x.end(name, CacheMiss, 1)
 	}
 	x.ask("hit", 0, "page", 500, false)
 	x.end("hit", Served, 5)
@@ -85,7 +85,7 @@
 // all, where one each would keep it full of fetches that come too late.
 func Example_fullOriginOfMany() {
 	s := start()
-	s.Aside = true
+	s.CacheAside = true
 	all := group(200, s, "a", "b", "c", "origin")
 	outs := make([][]*Op, len(all))
 	for sec := range 3 {
@@ -95,13 +95,13 @@
 				x.after(20)
 				x.pushes["origin"] = 0
 				name := fmt.Sprint(sec, t, i)
-				if op := x.ask(name, 0, name, 500, false); op.out > 0 && !at(op).Host.Origin {
-					x.end(name, Missed, 1)
+				if op := x.ask(name, 0, name, 500, false); op.inFlight > 0 && !at(op).Host.IsOrigin {
+					x.end(name, CacheMiss, 1)
 				}
-				outs[i] = slices.DeleteFunc(append(outs[i], x.ops[name]), (*Op).Over)
+				outs[i] = slices.DeleteFunc(append(outs[i], x.ops[name]), (*Op).IsDone)
 				for _, op := range outs[i] {
-					if op.out > 0 && at(op).Host.Origin {
-						x.Ended(at(op), Refused, 1, false, nil)
+					if op.inFlight > 0 && at(op).Host.IsOrigin {
+						x.PushEnded(at(op), Overloaded, 1, false, nil)
 					}
 				}
 				fetches += x.pushes["origin"]
@@ -121,12 +121,12 @@
 func Example_standingOrigin() {
 	for _, answers := range []bool{false, true} {
 		s := start()
-		s.Aside, s.Group = true, 50
+		s.CacheAside, s.GroupSize = true, 50
 		x := open(s, "a", "b", "origin")
 		x.silent = true
 		fetch := func(name string) {
 			x.ask(name, 0, name, 200, false)
-			x.end(name, Missed, 1)
+			x.end(name, CacheMiss, 1)
 		}
 		fmt.Print("answers others ", answers, ", limit")
 		for i := range 5 {
@@ -136,7 +136,7 @@
 				x.end(fmt.Sprint("other", i), Served, 10)
 			}
 			x.after(250)
-			fmt.Printf(" %.2f", x.origin.limit)
+			fmt.Printf(" %.2f", x.originLimiter.limit)
 		}
 		fmt.Println()
 	}
@@ -149,16 +149,16 @@
 // doubling, where some twenty had to before.
 func Example_fullOriginIsWell() {
 	s := start()
-	s.Aside, s.Group = true, 100
+	s.CacheAside, s.GroupSize = true, 100
 	x := open(s, "a", "b", "origin")
 	x.silent = true
-	x.origin.limit, x.origin.pain = 0.02, 2
+	x.originLimiter.limit, x.originLimiter.congestion = 0.02, 2
 	fetches := 0
-	for i := 0; x.origin.limit < 1; i++ {
-		x.origin.told = x.t // it does not open by itself
+	for i := 0; x.originLimiter.limit < 1; i++ {
+		x.originLimiter.lastOutcome = x.t // it does not open by itself
 		name := fmt.Sprint("op", i)
 		x.ask(name, 0, name, 200, false)
-		x.end(name, Missed, 1)
+		x.end(name, CacheMiss, 1)
 		if at(x.ops[name]) != nil {
 			x.end(name, Served, 10)
 			fetches++
@@ -175,18 +175,18 @@
 func Example_writesAtOrigin() {
 	for _, took := range []float64{45, 90} {
 		s := start()
-		s.Aside = true
+		s.CacheAside = true
 		x := open(s, "a", "origin")
 		x.silent = true
-		before := x.origin.limit
+		before := x.originLimiter.limit
 		for i := range 30 {
 			op := fmt.Sprint("op", i)
 			x.ask(op, 1, op, 500, true)
 			x.t += 200
-			x.At(x.t)
-			x.Ended(x.ops[op].tried[0], Served, took, true, nil)
+			x.Advance(x.t)
+			x.PushEnded(x.ops[op].pushes[0], Served, took, true, nil)
 		}
-		fmt.Println(took, "narrowed:", x.origin.limit < before)
+		fmt.Println(took, "narrowed:", x.originLimiter.limit < before)
 	}
 	// Output:
 	// 45 narrowed: false
@@ -197,7 +197,7 @@
 // one slow host in ten had narrowed the gate of all to a push or two, and ops waited while hosts had nothing to do.
 func Example_missesAtGate() {
 	s := start()
-	s.Aside, s.Group = true, 20
+	s.CacheAside, s.GroupSize = true, 20
 	names := []string{"origin"}
 	for i := range 20 {
 		names = append(names, fmt.Sprint("h", i))
@@ -212,10 +212,10 @@
 			x.end(name, Served, 200)
 			continue
 		}
-		x.end(name, Missed, 5)
+		x.end(name, CacheMiss, 5)
 		x.end(name, Served, 10)
 	}
-	fmt.Println("narrowed:", x.fleet.limit < 8)
+	fmt.Println("narrowed:", x.fleetLimiter.limit < 8)
 	// Output:
 	// narrowed: false
 }
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -8,7 +8,7 @@
 // twice lets two pushes of an op be out.
 func twice() *scene {
 	s := start()
-	s.MayDuplicate, s.MostPushes = true, 4
+	s.AllowHedging, s.MaxPushes = true, 4
 	return open(s, "a", "b", "c", "d")
 }
 
@@ -20,10 +20,10 @@
 		x.ask(name, row, "page", 500, false)
 	}
 	x.after(101)
-	first, second := x.ops["read"].tried[0], x.ops["read"].tried[1]
+	first, second := x.ops["read"].pushes[0], x.ops["read"].pushes[1]
 	x.over(second, Served, 1)
 	x.over(first, Served, 101)
-	fmt.Println("both over:", x.ops["read"].Over(), "learned:", second.Host.answered == x.t, first.Host.answered == x.t)
+	fmt.Println("both over:", x.ops["read"].IsDone(), "learned:", second.Host.lastAnswer == x.t, first.Host.lastAnswer == x.t)
 	// Output:
 	// 0 push read to c
 	//    0 push put to c
@@ -44,17 +44,17 @@
 		x.after(5)
 		outs = append(outs, x.ask(fmt.Sprint("op", i), 0, fmt.Sprint("key", i), 900, false))
 		for _, op := range outs {
-			for _, p := range slices.Clone(op.tried) {
-				if !p.over && x.t-p.sent > 300 {
-					x.over(p, Served, x.t-p.sent)
+			for _, p := range slices.Clone(op.pushes) {
+				if !p.ended && x.t-p.sentAt > 300 {
+					x.over(p, Served, x.t-p.sentAt)
 				}
 			}
 		}
-		outs = slices.DeleteFunc(outs, (*Op).Over)
+		outs = slices.DeleteFunc(outs, (*Op).IsDone)
 	}
 	copies := 0
 	for _, op := range x.ops {
-		copies += max(0, len(op.tried)-1)
+		copies += max(0, len(op.pushes)-1)
 	}
 	fmt.Println("copies of 400 ops:", copies)
 	// Output:
@@ -70,12 +70,12 @@
 	x.after(450)
 	fmt.Println()
 	s := start()
-	s.MayDuplicate, s.MostPushes = true, 1
+	s.AllowHedging, s.MaxPushes = true, 1
 	x = open(s, "a", "b")
 	x.ask("last push", 0, "page", 200, false)
 	x.after(200)
 	fmt.Println()
-	x = open(func() Start { s.MostPushes = 4; return s }(), "a", "b")
+	x = open(func() Config { s.MaxPushes = 4; return s }(), "a", "b")
 	x.ask("drained", 0, "page", 150, false)
 	x.tell("a", Draining, 0)
 	x.tell("b", Draining, 0)
@@ -105,18 +105,18 @@
 // origin fails the fetch, the first is waited for.
 func Example_copyMisses() {
 	s := start()
-	s.MayDuplicate, s.MostPushes, s.Aside = true, 4, true
+	s.AllowHedging, s.MaxPushes, s.CacheAside = true, 4, true
 	for _, fetched := range []Outcome{Served, Failed} {
 		x := open(s, "a", "b", "origin")
 		op := x.ask("op", 0, "page", 500, false)
 		x.after(101)
-		x.over(op.tried[1], Missed, 1)
+		x.over(op.pushes[1], CacheMiss, 1)
 		if fetched == Served {
-			x.over(op.tried[0], Missed, 102)
+			x.over(op.pushes[0], CacheMiss, 102)
 		}
-		x.over(op.tried[2], fetched, 20)
-		x.over(op.tried[0], Served, 130)
-		fmt.Println("over:", op.Over())
+		x.over(op.pushes[2], fetched, 20)
+		x.over(op.pushes[0], Served, 130)
+		fmt.Println("over:", op.IsDone())
 	}
 	// Output:
 	// 0 push op to a
@@ -134,15 +134,15 @@
 // An op whose copy waits for a fetch and may have no further push is not given up: its first push is still out.
 func Example_waitingCopy() {
 	s := start()
-	s.MayDuplicate, s.MostPushes, s.Aside = true, 3, true
+	s.AllowHedging, s.MaxPushes, s.CacheAside = true, 3, true
 	x := open(s, "a", "b", "origin")
 	x.ask("op", 0, "page", 500, false)
 	x.after(30)
 	x.ask("leads", 0, "page", 500, false)
-	x.end("leads", Missed, 1)
+	x.end("leads", CacheMiss, 1)
 	x.after(60)
-	x.over(x.ops["op"].tried[1], Missed, 1)
-	x.ops["op"].tried = append(x.ops["op"].tried, x.ops["op"].tried[1]) // one more that never ran: none is left
+	x.over(x.ops["op"].pushes[1], CacheMiss, 1)
+	x.ops["op"].pushes = append(x.ops["op"].pushes, x.ops["op"].pushes[1]) // one more that never ran: none is left
 	x.end("leads", Served, 20)
 	x.end("op", Served, 80)
 	// Output:
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -13,9 +13,9 @@
 			x.after(3)
 			name := fmt.Sprint("op", i)
 			op := x.ask(name, i%4, fmt.Sprint("key", i%17), 300, i%5 == 0)
-			for k := i; op.out > 0; k += 3 {
+			for k := i; op.inFlight > 0; k += 3 {
 				trace += at(op).Host.Name
-				x.Ended(at(op), Outcome(k%10), 5, Outcome(k%10) == Served, nil)
+				x.PushEnded(at(op), Outcome(k%10), 5, Outcome(k%10) == Served, nil)
 			}
 		}
 		return trace
@@ -37,25 +37,25 @@
 		x.end(op, Served, 40)
 	}
 	x.t += 5000
-	x.At(x.t)
-	x.rate = 0.01
-	x.hosts["a"].restUntil, x.hosts["b"].restUntil = x.t+1000, x.t+1000
+	x.Advance(x.t)
+	x.pushRate = 0.01
+	x.hosts["a"].ejectedUntil, x.hosts["b"].ejectedUntil = x.t+1000, x.t+1000
 	x.hosts["c"].UpSince = x.t - 100
-	x.afford(x.hosts["c"])
-	left := x.hosts["c"].budget
-	x.Yield(true)
-	fmt.Println("the old one affords a cold host:", x.afford(x.hosts["c"]))
+	x.hasColdBudget(x.hosts["c"])
+	left := x.hosts["c"].coldBudget
+	x.YieldColdHosts(true)
+	fmt.Println("the old one affords a cold host:", x.hasColdBudget(x.hosts["c"]))
 	y := open(start(), "a", "b", "c")
-	y.At(x.t)
+	y.Advance(x.t)
 	y.hosts["b"].UpSince, y.hosts["c"].UpSince = x.t-500, x.hosts["c"].UpSince
 	for _, part := range x.Learned().Split(2) {
-		y.Resume(part)
+		y.Restore(part)
 	}
-	fmt.Println("latency:", y.Categories[0].lat == x.Categories[0].lat, "gate:", y.fleet.limit == x.fleet.limit)
-	fmt.Println("rests:", y.hosts["a"].restUntil > x.t, y.hosts["b"].restUntil > x.t, "budget:", y.hosts["c"].budget == left)
+	fmt.Println("latency:", y.Categories[0].avgLatency == x.Categories[0].avgLatency, "gate:", y.fleetLimiter.limit == x.fleetLimiter.limit)
+	fmt.Println("rests:", y.hosts["a"].ejectedUntil > x.t, y.hosts["b"].ejectedUntil > x.t, "budget:", y.hosts["c"].coldBudget == left)
 	early := boot(start()).Learned()
-	y.Resume(early)
-	fmt.Println("before a list:", early, y.Categories[0].lat == x.Categories[0].lat)
+	y.Restore(early)
+	fmt.Println("before a list:", early, y.Categories[0].avgLatency == x.Categories[0].avgLatency)
 	// Output:
 	// the old one affords a cold host: false
 	// latency: true gate: true
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -9,25 +9,25 @@
 func Example_giveWay() {
 	for _, busy := range []float64{-1, 0.5, 0.99} {
 		s := start()
-		s.Aside = true
+		s.CacheAside = true
 		x := open(s, "a", "b", "c", "origin")
 		x.silent = true
 		for i := range 100 {
 			name := fmt.Sprint("op", i)
 			op := x.ask(name, 0, name, 500, false)
-			for n := 0; op.out > 0; n++ {
+			for n := 0; op.inFlight > 0; n++ {
 				p := at(op)
-				o := []Outcome{Refused, Refused, Missed}[min(n, 2)]
-				if p.Host.Origin {
+				o := []Outcome{Overloaded, Overloaded, CacheMiss}[min(n, 2)]
+				if p.Host.IsOrigin {
 					x.after(60)
 					o = Served
 				}
-				x.Ended(p, o, x.t-p.sent, o == Served, &Report{Busy: busy})
+				x.PushEnded(p, o, x.t-p.sentAt, o == Served, &LoadReport{Busy: busy})
 			}
 		}
 		pushes := 0
 		for i := 50; i < 100; i++ {
-			pushes += len(x.ops[fmt.Sprint("op", i)].tried)
+			pushes += len(x.ops[fmt.Sprint("op", i)].pushes)
 		}
 		fmt.Printf("busy %.2f: %d pushes for the last 50 ops\n", busy, pushes)
 	}
@@ -42,23 +42,23 @@
 func Example_gateOpensItself() {
 	x := aside()
 	x.silent = true
-	x.origin.limit = 0.01
+	x.originLimiter.limit = 0.01
 	for i := range 4 {
 		fetches := x.pushes["origin"]
 		for k := range 4 {
 			name := fmt.Sprint("miss", i, k)
 			x.ask(name, 0, name, 300, false)
-			x.end(name, Missed, 1)
-			x.Left(x.ops[name])
+			x.end(name, CacheMiss, 1)
+			x.ClientLeft(x.ops[name])
 			x.after(1000)
 		}
-		fmt.Printf("%2.0f s: limit %.2f, fetches %d of 4\n", x.t/1000, x.origin.limit, x.pushes["origin"]-fetches)
+		fmt.Printf("%2.0f s: limit %.2f, fetches %d of 4\n", x.t/1000, x.originLimiter.limit, x.pushes["origin"]-fetches)
 	}
 	x.ask("well", 0, "page", 300, false)
-	x.end("well", Missed, 1)
-	x.origin.limit = 0.25
+	x.end("well", CacheMiss, 1)
+	x.originLimiter.limit = 0.25
 	x.end("well", Served, 10)
-	fmt.Println("a timely answer doubles it:", x.origin.limit == 0.5)
+	fmt.Println("a timely answer doubles it:", x.originLimiter.limit == 0.5)
 	// Output:
 	// 4 s: limit 0.23, fetches 2 of 4
 	//  8 s: limit 0.52, fetches 0 of 4
@@ -71,18 +71,18 @@
 // a balancer's few fetches are often late by chance, and turning ops away for them lost nine in ten of what was lost.
 func Example_calmGate() {
 	s := start()
-	s.Group, s.Aside = 400, true
+	s.GroupSize, s.CacheAside = 400, true
 	x := open(s, "a", "b", "origin")
 	x.silent = true
 	for _, took := range []float64{45, 90} {
 		for i := range 40 {
 			name := fmt.Sprint("op", took, i)
 			x.ask(name, 0, name, 900, false)
-			x.end(name, Missed, 1)
+			x.end(name, CacheMiss, 1)
 			x.after(took)
 			x.end(name, Served, took)
 		}
-		fmt.Println(took, "ms: ops turned away by chance:", x.origin.limit < 1)
+		fmt.Println(took, "ms: ops turned away by chance:", x.originLimiter.limit < 1)
 	}
 	// Output:
 	// 45 ms: ops turned away by chance: false
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -18,17 +18,17 @@
 		longest := 0.0
 		for seed := range 200 {
 			s := start()
-			s.OnRequest, s.Seed = true, uint64(seed)
+			s.ListOnRequest, s.Seed = true, uint64(seed)
 			x := &scene{silent: true}
 			x.Balancer = New(s, x, 0)
 			called := 0.0
 			for call := 0; call < 8; {
 				x.after(10)
 				switch {
-				case x.asking && x.askAt > called: // a further call
-					longest, called, call = max(longest, x.askAt-called), x.askAt, call+1
-				case x.asking && x.t-x.askAt >= c.fail:
-					x.ListFailed()
+				case x.listPending && x.listCallAt > called: // a further call
+					longest, called, call = max(longest, x.listCallAt-called), x.listCallAt, call+1
+				case x.listPending && x.t-x.listCallAt >= c.fail:
+					x.HostListFailed()
 				}
 			}
 		}
@@ -44,11 +44,11 @@
 // A failed list call is made again after a spread and growing wait, as is one that nobody answers.
 func Example_listErrors() {
 	s := start()
-	s.OnRequest = true
+	s.ListOnRequest = true
 	x := boot(s)
-	x.ListFailed()
+	x.HostListFailed()
 	x.after(1000)
-	x.ListFailed()
+	x.HostListFailed()
 	x.after(2000)
 	x.after(10000)
 	x.list(true, "a")
@@ -86,17 +86,17 @@
 func Example_oddLists() {
 	for _, group := range []int{1, 1000} {
 		s := start()
-		s.Group, s.Aside = group, true
+		s.GroupSize, s.CacheAside = group, true
 		x := open(s, "a", "b")
 		x.tell("never", Gone, 0)
 		x.tell("other", Draining, 5)
 		a := x.hosts["a"]
-		x.List([]Entry{{a, Listing{Size: 2}}, {a, Listing{Size: 1}}}, false, false)
+		x.HostsListed([]HostEntry{{a, Listing{Size: 2}}, {a, Listing{Size: 1}}}, false, false)
 		x.silent = true
 		at := func(key string) string {
 			op := x.ask(key, 0, key, 500, false)
-			if op.out == 0 {
-				x.Left(op)
+			if op.inFlight == 0 {
+				x.ClientLeft(op)
 				return "none"
 			}
 			name := at(op).Host.Name
@@ -104,7 +104,7 @@
 			return name
 		}
 		fmt.Print(group, " balancers: ", len(x.Balancer.hosts), " hosts, ", at("page"), at("atlas"))
-		x.List(nil, true, false)
+		x.HostsListed(nil, true, false)
 		fmt.Print(", empty ", at("k1"))
 		x.list(true, "origin")
 		fmt.Print(", origin ", at("k2"))
@@ -113,7 +113,7 @@
 			many = append(many, fmt.Sprint("h", i))
 		}
 		x.list(true, many...)
-		fmt.Println(", thousand", at("page"), len(x.ready))
+		fmt.Println(", thousand", at("page"), len(x.readyHosts))
 	}
 	// Output:
 	// 1 balancers: 3 hosts, ab, empty none, origin none, thousand h818 1000
@@ -124,18 +124,18 @@
 // and takes the new list when one comes, if ever.
 func Example_restart() {
 	s := start()
-	s.OnRequest = true
+	s.ListOnRequest = true
 	peer := open(start(), "a", "b", "c")
 	s.Seed = 99
 	x := boot(s)
 	for _, n := range []string{"a", "b", "c"} {
 		x.hosts[n] = &Host{Name: n}
-		x.List([]Entry{{x.hosts[n], Listing{Size: 1}}}, false, true)
+		x.HostsListed([]HostEntry{{x.hosts[n], Listing{Size: 1}}}, false, true)
 	}
 	x.after(8000)
 	x.ask("op", 0, "page", 500, false)
 	peer.ask("peer's", 0, "page", 500, false)
-	x.end("op", NoConn, 1)
+	x.end("op", ConnectFailed, 1)
 	x.list(true, "a", "b")
 	// Output:
 	// 0 watch
@@ -148,14 +148,14 @@
 // Calls for the list fail ever longer apart; where another service tells it from now on, it is asked at once.
 func Example_listMoved() {
 	s := start()
-	s.OnRequest = true
+	s.ListOnRequest = true
 	x := boot(s)
 	for range 4 {
-		x.ListFailed()
+		x.HostListFailed()
 	}
 	x.after(100)
-	x.ListMoved()
-	x.ListFailed()
+	x.HostListMoved()
+	x.HostListFailed()
 	x.after(1000)
 	// Output:
 	// 0 watch
@@ -173,20 +173,20 @@
 		x.tell(name, []Status{Ready, Draining, Ready, Gone}[i%4], 0)
 	}
 	var left []string
-	for _, h := range x.ready {
+	for _, h := range x.readyHosts {
 		left = append(left, h.Name)
 	}
 	y := open(start(), left...)
 	same := len(x.cycle.points) == len(y.cycle.points)
 	for i, p := range x.cycle.points {
 		q := y.cycle.points[i]
-		same = same && p.hash == q.hash && x.cycle.slots[p.slot].Name == y.cycle.slots[q.slot].Name
+		same = same && p.hash == q.hash && x.cycle.hosts[p.hostIndex].Name == y.cycle.hosts[q.hostIndex].Name
 	}
-	looks, last := 0, x.ticked
+	looks, last := 0, x.lastSweep
 	for range 100 {
 		x.after(10)
-		if x.ticked != last {
-			looks, last = looks+1, x.ticked
+		if x.lastSweep != last {
+			looks, last = looks+1, x.lastSweep
 		}
 	}
 	fmt.Println(len(left), "hosts, the same cycle:", same, "looks in a second:", looks)
@@ -199,21 +199,21 @@
 func Example_ban() {
 	x := open(start(), "a", "b", "c")
 	x.ask("out", 0, "page", 500, false)
-	first := x.ops["out"].tried[0].Host
+	first := x.ops["out"].pushes[0].Host
 	for range 2 {
-		x.Ban(first, true) // twice is as once
+		x.SetBanned(first, true) // twice is as once
 	}
 	x.ask("next", 0, "page", 500, false)
 	x.list(true, "a", "b", "c") // and it is listed as ready
 	x.ask("listed", 0, "page", 500, false)
-	x.end("next", Broken, 5)
+	x.end("next", ConnBroken, 5)
 	x.end("out", Served, 10)
-	fmt.Println(x.Hosts())
-	x.Ban(first, false)
-	first.restUntil = math.Inf(1)
-	x.Ban(first, true)
-	x.Ban(first, false)
-	fmt.Println(x.Hosts())
+	fmt.Println(x.HostCounts())
+	x.SetBanned(first, false)
+	first.ejectedUntil = math.Inf(1)
+	x.SetBanned(first, true)
+	x.SetBanned(first, false)
+	fmt.Println(x.HostCounts())
 	x.ask("again", 0, "page", 500, false)
 	// Output:
 	// 0 push out to c
@@ -229,9 +229,9 @@
 // Where operators have taken out all hosts, reads go to the origin. Before there is a list they are held.
 func Example_allBanned() {
 	s := start()
-	s.Aside = true
+	s.CacheAside = true
 	x := open(s, "a", "origin")
-	x.Ban(x.hosts["a"], true)
+	x.SetBanned(x.hosts["a"], true)
 	x.ask("read", 0, "page", 500, false)
 	x.end("read", Served, 10)
 	x = boot(s)
--- a/balance/many_test.go
+++ b/balance/many_test.go
@@ -14,12 +14,12 @@
 }
 
 // manyStart is a start with 1,024 balancers, categories and tenants.
-func manyStart() Start {
+func manyStart() Config {
 	s := start()
-	s.Group = 1024
+	s.GroupSize = 1024
 	s.Categories = nil
 	for range 1024 {
-		s.Categories = append(s.Categories, &Category{Target: 100, Benefit: 1, Tardy: 0.5, Repeat: Redeliverable})
+		s.Categories = append(s.Categories, &Category{Target: 100, Benefit: 1, LateBenefit: 0.5, Repeat: Redeliverable})
 		s.Tenants = append(s.Tenants, &Tenant{Quota: 10})
 	}
 	return s
@@ -30,7 +30,7 @@
 	homes := map[string]*Host{}
 	for i := range keys {
 		row := i % len(x.Categories)
-		op := &Op{Key: fmt.Sprint("key", i), Category: x.Categories[row], Tenant: x.Tenants[row], Due: x.t + 1e6}
+		op := &Op{Key: fmt.Sprint("key", i), Category: x.Categories[row], Tenant: x.Tenants[row], Deadline: x.t + 1e6}
 		if homes[op.Key] = x.home(op); homes[op.Key] == nil {
 			t.Fatalf("key %d of category %d goes nowhere", i, row)
 		}
@@ -40,12 +40,12 @@
 
 // home is the host that a new op goes to, nil where it goes nowhere. It is answered at once.
 func (x *scene) home(op *Op) *Host {
-	x.Arrive(op)
+	x.OpArrived(op)
 	p := at(op)
 	if p == nil {
 		return nil
 	}
-	x.Ended(p, Served, 10, true, nil)
+	x.PushEnded(p, Served, 10, true, nil)
 	return p.Host
 }
 
@@ -65,14 +65,14 @@
 		x := boot(manyStart())
 		x.silent = true
 		names := manyNames(n)
-		entries := make([]Entry, n)
+		entries := make([]HostEntry, n)
 		for i, name := range names {
 			x.hosts[name] = &Host{Name: name}
-			entries[i] = Entry{x.hosts[name], Listing{Zone: i % 3, Size: 1}}
+			entries[i] = HostEntry{x.hosts[name], Listing{Zone: i % 3, Size: 1}}
 		}
-		x.List(entries, true, false)
+		x.HostsListed(entries, true, false)
 		before := homesOf(t, x, 32*n)
-		if listed, avoided := x.Hosts(); listed != n || avoided != 0 || used(before) != n {
+		if listed, avoided := x.HostCounts(); listed != n || avoided != 0 || used(before) != n {
 			t.Fatalf("%d hosts: %d listed, %d avoided, %d used", n, listed, avoided, used(before))
 		}
 		x.tell("cache7", Gone, 0)
@@ -85,7 +85,7 @@
 				t.Fatalf("%d hosts: %s moved from %s to %s", n, key, before[key].Name, h.Name)
 			}
 		}
-		if listed, _ := x.Hosts(); listed != n-1 || moved == 0 {
+		if listed, _ := x.HostCounts(); listed != n-1 || moved == 0 {
 			t.Fatalf("%d hosts: %d listed, and %d keys moved, once one has left", n, listed, moved)
 		}
 		x.tell("cache7", Ready, 0)
@@ -106,26 +106,28 @@
 	var banned []*Host
 	for i := 0; i < n; i += 2 {
 		for _, x := range []*scene{one, all} {
-			x.hosts[names[i]].fail, x.hosts[names[i]].budget = 0.9, 3
+			x.hosts[names[i]].failRate, x.hosts[names[i]].coldBudget = 0.9, 3
 		}
-		one.Ban(one.hosts[names[i]], true)
+		one.SetBanned(one.hosts[names[i]], true)
 		banned = append(banned, all.hosts[names[i]])
 	}
-	all.BanAll(banned)
-	listed, avoided := all.Hosts()
-	if listed != n || avoided != n/2 || len(one.cycle.points) != len(all.cycle.points) || one.fleet.limit != all.fleet.limit {
+	all.BanHosts(banned)
+	listed, avoided := all.HostCounts()
+	if listed != n || avoided != n/2 || len(one.cycle.points) != len(all.cycle.points) || one.fleetLimiter.limit != all.fleetLimiter.limit {
 		t.Fatalf("%d listed, %d avoided, %d and %d points, gates at %v and %v", listed, avoided, len(one.cycle.points),
-			len(all.cycle.points), one.fleet.limit, all.fleet.limit)
+			len(all.cycle.points), one.fleetLimiter.limit, all.fleetLimiter.limit)
 	}
 	for i := range 4096 {
-		opAt := func(x *scene) *Op { return &Op{Key: fmt.Sprint("key", i), Category: x.Categories[0], Due: x.t + 1e6} }
+		opAt := func(x *scene) *Op {
+			return &Op{Key: fmt.Sprint("key", i), Category: x.Categories[0], Deadline: x.t + 1e6}
+		}
 		if a, b := one.home(opAt(one)), all.home(opAt(all)); a.Name != b.Name || b.Banned {
 			t.Fatalf("key %d is at %s, and at %s", i, a.Name, b.Name)
 		}
 	}
 	for i, h := range banned {
-		if h.fail != 0 || h.budget != 3 {
-			t.Fatalf("banned host %d: failures %v, budget %v", i, h.fail, h.budget)
+		if h.failRate != 0 || h.coldBudget != 3 {
+			t.Fatalf("banned host %d: failures %v, budget %v", i, h.failRate, h.coldBudget)
 		}
 	}
 }
--- a/balance/order_test.go
+++ b/balance/order_test.go
@@ -3,10 +3,10 @@
 import "fmt"
 
 // ordered is a start at which ops of the last row keep their order by key, with 50 ms of rest.
-func ordered() Start {
+func ordered() Config {
 	s := start()
-	s.KeyRest = 50
-	s.Categories = append(s.Categories, &Category{Target: 400, Benefit: 1, Tardy: 0.5, Ordered: true})
+	s.KeyQuietTime = 50
+	s.Categories = append(s.Categories, &Category{Target: 400, Benefit: 1, LateBenefit: 0.5, Ordered: true})
 	return s
 }
 
@@ -23,7 +23,7 @@
 	x.end("op1", Failed, 10) // its second push is before op2's first
 	x.end("op1", Served, 10)
 	x.end("op2", Served, 10)
-	fmt.Println("turns kept for nothing:", len(x.turns)-1)
+	fmt.Println("turns kept for nothing:", len(x.keyQueues)-1)
 	// Output:
 	// 0 push op0 to c
 	//    0 push other to d
@@ -42,21 +42,21 @@
 // its outcome, and one that is given up in line lets those behind it move up.
 func Example_orderRests() {
 	s := ordered()
-	s.Categories[4].Tardy = 0
+	s.Categories[4].LateBenefit = 0
 	x := open(s, "a", "b", "c", "d")
 	x.ask("op0", 4, "page", 2000, false)
 	x.after(350)
 	x.ask("op1", 4, "page", 60, false)
 	x.ask("op2", 4, "page", 2000, false)
 	x.after(200)
-	x.end("op2", Broken, 10)
+	x.end("op2", ConnBroken, 10)
 	x.ask("op3", 4, "page", 2000, false)
 	x.end("op2", Served, 10)
 	x.after(100)
 	x.end("op3", TimedOut, 10)
-	x.Left(x.ops["op3"])
+	x.ClientLeft(x.ops["op3"])
 	x.after(6000)
-	fmt.Println("turns kept for nothing:", len(x.turns))
+	fmt.Println("turns kept for nothing:", len(x.keyQueues))
 	// Output:
 	// 0 push op0 to c
 	//  350 cancel op0
@@ -77,7 +77,7 @@
 // as the stated doubt goes, and are settled within it.
 func Example_clockOff() {
 	s := start()
-	s.LeftOff = 300
+	s.DeadlineSkew = 300
 	x := open(s, "a", "b", "c", "d")
 	x.ask("short", 0, "page", 5, false)
 	x.ask("past", 0, "leaf", -250, false)
@@ -99,7 +99,7 @@
 func Example_stampOff() {
 	for _, doubt := range []float64{0, 2000} {
 		s := start()
-		s.StampDoubt = doubt
+		s.UpSinceSkew = doubt
 		x := open(s, "a", "b", "c", "d")
 		flood(x, 6000)
 		x.tell("d", Gone, 0)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -35,7 +35,7 @@
 	for _, took := range []float64{5, 50} {
 		x := open(start(), "a", "b", "c", "d")
 		x.ask("op0", 0, "page", 500, false)
-		x.end("op0", NoConn, took)
+		x.end("op0", ConnectFailed, took)
 		x.end("op0", Served, 9)
 		x.after(150)
 		x.ask("op1", 0, "page", 500, false)
@@ -84,8 +84,8 @@
 				took = 150
 			}
 			x.after(took)
-			called += len(op.tried) - 1
-			x.end("op", Served, x.t-at(op).sent)
+			called += len(op.pushes) - 1
+			x.end("op", Served, x.t-at(op).sentAt)
 		}
 		fmt.Println("called off:", called, "of 10 heavy ones")
 	}
@@ -105,7 +105,7 @@
 		x.ask("op", 0, "page", 900, false)
 		x.after(80)
 		x.end("op", Served, took)
-		fmt.Printf("%.0f ms: limit %.0f, smoothed over target %.2f\n", took, x.fleet.limit, x.fleet.pain)
+		fmt.Printf("%.0f ms: limit %.0f, smoothed over target %.2f\n", took, x.fleetLimiter.limit, x.fleetLimiter.congestion)
 	}
 	// Output:
 	// 20 ms: limit 64, smoothed over target 0.04
@@ -121,7 +121,7 @@
 	x := open(start(), "a", "b", "c", "d")
 	for _, name := range []string{"op0", "op1"} {
 		x.ask(name, 0, "page", 500, false)
-		x.end(name, Spoilt, 5)
+		x.end(name, InvalidAnswer, 5)
 	}
 	x.end("op1", Served, 5)
 	// Output:
@@ -136,10 +136,10 @@
 func Example_stale() {
 	x := open(start(), "a", "b", "c", "d")
 	x.ask("read", 0, "page", 500, false)
-	x.end("read", Stale, 5)
+	x.end("read", StaleConn, 5)
 	x.end("read", Served, 5)
 	x.ask("once", 2, "page", 500, false)
-	x.end("once", Stale, 5)
+	x.end("once", StaleConn, 5)
 	// Output:
 	// 0 push read to c
 	//    0 push read to c
@@ -171,17 +171,17 @@
 func Example_rejected() {
 	x := open(start(), "a", "b", "c", "d")
 	x.ask("wrong", 0, "page", 500, false)
-	x.end("wrong", Rejected, 5)
-	x.end("wrong", Rejected, 5)
+	x.end("wrong", InvalidOp, 5)
+	x.end("wrong", InvalidOp, 5)
 	x.ask("right", 0, "page", 500, false)
-	x.end("right", Rejected, 5)
+	x.end("right", InvalidOp, 5)
 	x.end("right", Served, 5)
 	x.ask("next", 0, "page", 500, false)
 	s := start()
-	s.Aside = true
+	s.CacheAside = true
 	x = open(s, "a", "o") // a fetch that the origin holds for wrong once waited for itself
 	x.ask("fetch", 0, "page", 500, false)
-	for _, o := range []Outcome{Missed, Rejected, Rejected} {
+	for _, o := range []Outcome{CacheMiss, InvalidOp, InvalidOp} {
 		x.end("fetch", o, 5)
 	}
 	// Output:
@@ -209,7 +209,7 @@
 			name := fmt.Sprint("op", s, i)
 			ops = append(ops, x.ask(name, 0, name, 300, false))
 			for _, op := range ops {
-				if op.out > 0 && s >= 2 && x.t-at(op).sent < 40 {
+				if op.inFlight > 0 && s >= 2 && x.t-at(op).sentAt < 40 {
 					x.end(op.Ref.(string), Served, 10)
 					served++
 				}
@@ -222,7 +222,7 @@
 	x.after(1000)
 	open := 0
 	for _, op := range x.ops {
-		if op.state != settled {
+		if op.state != stateSettled {
 			open++
 		}
 	}
@@ -251,7 +251,7 @@
 			x.after(10)
 			name := fmt.Sprint("op", i)
 			op := x.ask(name, 0, name, 500, false)
-			for op.out > 0 {
+			for op.inFlight > 0 {
 				if p := at(op); bad(p.Host) && !well {
 					tried++
 					x.end(name, Failed, 5)
@@ -266,7 +266,7 @@
 	run(true)
 	suspect := 0
 	for _, h := range x.hosts {
-		if h.fail > failFrom {
+		if h.failRate > suspectThreshold {
 			suspect++
 		}
 	}
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -59,15 +59,15 @@
 				warm -= r.cold
 			}
 			x.now = t
-			x.counted += poisson(rng, float64(warm)*r.rate*part*rampStep)
-			if x.now-x.ticked >= sweepEvery {
-				x.sweep(x.now - x.ticked)
+			x.warmAnswers += poisson(rng, float64(warm)*r.rate*part*rampStep)
+			if x.now-x.lastSweep >= sweepInterval {
+				x.sweep(x.now - x.lastSweep)
 			}
 			for c := range r.cold {
 				h := hosts[r.hosts-1-c]
 				for range poisson(rng, r.wants*r.rate*part*rampStep) {
-					if t >= lists && x.afford(h) {
-						h.budget--
+					if t >= lists && x.hasColdBudget(h) {
+						h.coldBudget--
 						sent[c] = append(sent[c], t)
 					}
 				}
@@ -93,11 +93,11 @@
 
 func (r *ramp) boot(seed uint64) (*scene, []*Host) {
 	s := start()
-	s.Seed, s.Group, s.Quantum = seed, r.n, 1
+	s.Seed, s.GroupSize, s.Quantum = seed, r.n, 1
 	x := &scene{silent: true}
 	x.Balancer = New(s, x, 0)
 	for _, c := range x.Categories { // a host is at work on one op after another
-		c.lat = 1 / r.rate
+		c.avgLatency = 1 / r.rate
 	}
 	var hosts []*Host
 	for i := range r.hosts {
@@ -108,15 +108,15 @@
 }
 
 func (r *ramp) list(x *scene, hosts []*Host, up float64) {
-	var entries []Entry
+	var entries []HostEntry
 	for i, h := range hosts {
 		l := Listing{Size: 1}
 		if up > 0 && i >= r.hosts-r.cold {
 			l.UpSince = up
 		}
-		entries = append(entries, Entry{h, l})
+		entries = append(entries, HostEntry{h, l})
 	}
-	x.List(entries, true, false)
+	x.HostsListed(entries, true, false)
 }
 
 func poisson(rng *rand.Rand, mean float64) (n int) {
--- a/balance/repeat_test.go
+++ b/balance/repeat_test.go
@@ -9,12 +9,12 @@
 	names := []string{"refused", "no connection", "error", "broken", "unknown"}
 	for row, kind := range []string{"redeliverable", "deduplicated", "at most once", "dropped in its zone"} {
 		fmt.Print(kind, ":")
-		for i, o := range []Outcome{Refused, NoConn, Failed, Broken, Unknown} {
+		for i, o := range []Outcome{Overloaded, ConnectFailed, Failed, ConnBroken, UnknownOutcome} {
 			x := open(start(), "a", "b", "c")
 			x.silent = true
 			op := x.ask("op", row, "page", 500, false)
 			x.end("op", o, 1)
-			fmt.Print(" ", names[i], " ", map[state]string{out: "push", settled: "dead letter"}[op.state])
+			fmt.Print(" ", names[i], " ", map[opState]string{statePushed: "push", stateSettled: "dead letter"}[op.state])
 		}
 		fmt.Println()
 	}
@@ -28,11 +28,11 @@
 // Past its window a deduplicated op that may have run is neither pushed again nor nacked.
 func Example_window() {
 	s := start()
-	s.MayCancel = false
+	s.AllowCancel = false
 	x := open(s, "a", "b", "c")
 	x.ask("op", 1, "page", 900, false)
 	x.after(310)
-	x.end("op", Broken, 310)
+	x.end("op", ConnBroken, 310)
 	// Output:
 	// 0 push op to c
 	//  310 dead-letter op
@@ -46,7 +46,7 @@
 	x.ask("once", 2, "page", 200, false)
 	x.ask("late", 0, "page", 8, false)
 	x.after(200)
-	x.end("once", Broken, 200)
+	x.end("once", ConnBroken, 200)
 	// Output:
 	// 0 push read to c
 	//    0 push once to c
@@ -62,7 +62,7 @@
 // Where a late answer is worth nothing an op is settled at its target latency, and its push called off.
 func Example_worthlessLate() {
 	s := start()
-	s.Categories[0].Tardy = 0
+	s.Categories[0].LateBenefit = 0
 	x := open(s, "a", "b")
 	x.ask("op0", 0, "page", 900, false)
 	x.ask("op1", 0, "page", 900, false)
@@ -81,10 +81,10 @@
 func Example_stream() {
 	x := open(start(), "a", "b")
 	op := x.ask("op", 0, "page", 200, false)
-	x.Streaming(at(op))
+	x.StreamingStarted(at(op))
 	x.after(300)
-	x.Ended(at(op), Broken, 300, true, nil)
-	fmt.Println(op.Over())
+	x.PushEnded(at(op), ConnBroken, 300, true, nil)
+	fmt.Println(op.IsDone())
 	// Output:
 	// 0 push op to a
 	// true
@@ -95,22 +95,22 @@
 func Example_leavers() {
 	x := open(start(), "a", "b", "c", "d", "o")
 	x.silent = true
-	before := x.fleet.limit
+	before := x.fleetLimiter.limit
 	for i := range 200 {
 		name := fmt.Sprint("op", i)
 		x.ask(name, 0, name, 500, false)
 		x.after(3)
-		x.Left(x.ops[name])
+		x.ClientLeft(x.ops[name])
 		x.after(20)
 	}
-	fmt.Println("as wide as before:", x.fleet.limit == before)
+	fmt.Println("as wide as before:", x.fleetLimiter.limit == before)
 	for i := range 20 {
 		name := fmt.Sprint("late", i)
 		x.ask(name, 2, name, 300, false)
 		x.after(300)
 		x.end(name, TimedOut, 300)
 	}
-	fmt.Println("narrower:", x.fleet.limit < before)
+	fmt.Println("narrower:", x.fleetLimiter.limit < before)
 	// Output:
 	// as wide as before: true
 	// narrower: true
@@ -120,20 +120,20 @@
 // client may take seconds over the rest. Where it breaks midway the host is blamed.
 func Example_longAnswer() {
 	s := start()
-	s.Aside = true
+	s.CacheAside = true
 	x := open(s, "a", "origin")
 	x.ask("leads", 0, "page", 500, false)
-	x.end("leads", Missed, 5)
+	x.end("leads", CacheMiss, 5)
 	x.ask("waits", 0, "page", 500, false)
-	p := x.ops["leads"].tried[1]
-	x.Streaming(p)
-	fmt.Println(p.Host.out, x.origin.out, x.fleet.out)
-	x.Ended(p, Served, 5, true, nil)
-	fmt.Println(p.Host.out, x.origin.out, x.fleet.out, x.ops["leads"].Over())
-	p = x.ops["waits"].tried[0]
-	x.Streaming(p)
-	x.Ended(p, Broken, 5, true, nil)
-	fmt.Println(p.Host.fail > failFrom, p.Host.out)
+	p := x.ops["leads"].pushes[1]
+	x.StreamingStarted(p)
+	fmt.Println(p.Host.inFlight, x.originLimiter.inFlight, x.fleetLimiter.inFlight)
+	x.PushEnded(p, Served, 5, true, nil)
+	fmt.Println(p.Host.inFlight, x.originLimiter.inFlight, x.fleetLimiter.inFlight, x.ops["leads"].IsDone())
+	p = x.ops["waits"].pushes[0]
+	x.StreamingStarted(p)
+	x.PushEnded(p, ConnBroken, 5, true, nil)
+	fmt.Println(p.Host.failRate > suspectThreshold, p.Host.inFlight)
 	// Output:
 	// 0 push leads to a
 	//    0 push leads to origin
--- a/balance/rounds_test.go
+++ b/balance/rounds_test.go
@@ -36,7 +36,7 @@
 	went, at float64
 }
 
-func rounds(s Start, clients int, hosts func(h *Host) float64, work func() float64) *loop {
+func rounds(s Config, clients int, hosts func(h *Host) float64, work func() float64) *loop {
 	x := &loop{scene: boot(s), hosts: hosts, work: work, each: 0.02, rng: 1, sent: map[*Op]float64{}}
 	x.silent, x.wake = true, 0
 	x.Balancer = New(s, x, 0) // behind this front, not the scene's
@@ -87,14 +87,14 @@
 	if len(x.queue) > 0 {
 		wait = x.t - x.queue[0]
 	}
-	x.At(x.t)
-	x.Behind(wait)
+	x.Advance(x.t)
+	x.ReportInputWait(wait)
 	x.hear()
 	flights, n := x.flights, 0
 	x.flights = nil
 	for _, f := range flights {
 		switch {
-		case f.p.over: // called off
+		case f.p.ended: // called off
 		case f.at > x.t:
 			x.flights = append(x.flights, f)
 		default:
@@ -104,7 +104,7 @@
 				x.slowest = max(x.slowest, x.t-came)
 				delete(x.sent, f.p.Op)
 			}
-			x.Ended(f.p, Served, max(0, heard-f.went), true, nil)
+			x.PushEnded(f.p, Served, max(0, heard-f.went), true, nil)
 			if x.rate == 0 {
 				x.again(0)
 			}
@@ -122,7 +122,7 @@
 		x.ask(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)
 	}
 	for work := 0.0; len(x.queue) > 0 && work < 0.5; x.queue = x.queue[1:] {
-		if room, _ := x.Room(); !room {
+		if room, _ := x.Admit(); !room {
 			x.turned++
 			work += x.each / 20
 			continue
@@ -134,11 +134,11 @@
 	}
 	if x.wake <= x.t {
 		x.wake = math.Inf(1)
-		x.Woke()
+		x.TimerFired()
 	}
 	x.before, x.end = x.t, x.t+x.work()+float64(n)*x.each
 	for _, p := range x.written {
-		x.Went(p, x.end-x.t, false)
+		x.PushStarted(p, x.end-x.t, false)
 		x.flights = append(x.flights, flight{p, x.end, x.end + x.hosts(p.Host)})
 	}
 	x.written = nil
@@ -148,16 +148,16 @@
 		}
 	}
 	for _, h := range x.Balancer.hosts {
-		x.blamed = max(x.blamed, h.fail)
+		x.blamed = max(x.blamed, h.failRate)
 	}
 }
 
 // jitter is a time about a mean: half of it to one and a half, and one time in a hundred twice.
 func (p *pcg) jitter(mean float64) float64 {
-	if p.float() < 0.01 {
+	if p.uniform() < 0.01 {
 		return 2 * mean
 	}
-	return mean * (0.5 + p.float())
+	return mean * (0.5 + p.uniform())
 }
 
 // Fast hosts, and a process that is late itself by up to 10 ms: that is no sign of a host, and no push is called off.
@@ -168,8 +168,8 @@
 			s.Categories[0].Target = 200
 			var x *loop
 			x = rounds(s, clients, func(*Host) float64 { return x.rng.jitter(usual) }, func() float64 {
-				if x.rng.float() < 0.1 {
-					return 1 + 9*x.rng.float()
+				if x.rng.uniform() < 0.1 {
+					return 1 + 9*x.rng.uniform()
 				}
 				return 0.01
 			})
@@ -206,12 +206,12 @@
 						return 1000
 					}
 					return x.rng.jitter(usual)
-				}, func() float64 { return 0.01 + late*x.rng.float() })
+				}, func() float64 { return 0.01 + late*x.rng.uniform() })
 				x.rng = pcg(seed)
 				x.run(1000)
 				hung = true
 				began := x.t
-				for x.t < began+300 && !x.suspect(x.scene.hosts["c"]) {
+				for x.t < began+300 && !x.isSuspect(x.scene.hosts["c"]) {
 					x.run(0.5)
 				}
 				all += x.t - began
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -10,7 +10,7 @@
 	for range ms {
 		x.after(1)
 		name := fmt.Sprint("op", x.t)
-		if x.ask(name, 0, name, 500, false).out > 0 {
+		if x.ask(name, 0, name, 500, false).inFlight > 0 {
 			x.end(name, Served, 10)
 		}
 	}
@@ -39,9 +39,9 @@
 }
 
 // group opens n balancers that share nothing.
-func group(n int, s Start, names ...string) (all []*scene) {
+func group(n int, s Config, names ...string) (all []*scene) {
 	for i := range n {
-		s.Seed, s.Group, s.Categories = uint64(i), n, rows()
+		s.Seed, s.GroupSize, s.Categories = uint64(i), n, rows()
 		x := open(s, names...)
 		x.silent = true
 		all = append(all, x)
@@ -58,8 +58,8 @@
 			for i, x := range all {
 				x.after(500)
 				before := x.pushes["d"]
-				if op := x.ask(fmt.Sprint("op", t), 0, key(i+300*t), 500, false); op.out > 0 {
-					x.Ended(at(op), Served, 10, true, nil)
+				if op := x.ask(fmt.Sprint("op", t), 0, key(i+300*t), 500, false); op.inFlight > 0 {
+					x.PushEnded(at(op), Served, 10, true, nil)
 				}
 				atD += x.pushes["d"] - before
 			}
@@ -100,12 +100,12 @@
 	x := open(start(), "a")
 	a := x.hosts["a"]
 	x.after(1000)
-	a.UpSince, x.rate = 1, 0.01
-	fmt.Println(x.afford(a), a.budget >= 1)
-	a.budget = 0
-	x.Ban(a, true)
-	x.Ban(a, false)
-	fmt.Println(x.afford(a), a.budget >= 1)
+	a.UpSince, x.pushRate = 1, 0.01
+	fmt.Println(x.hasColdBudget(a), a.coldBudget >= 1)
+	a.coldBudget = 0
+	x.SetBanned(a, true)
+	x.SetBanned(a, false)
+	fmt.Println(x.hasColdBudget(a), a.coldBudget >= 1)
 	// Output:
 	// true true
 	// false false
--- a/balance/trace_test.go
+++ b/balance/trace_test.go
@@ -20,27 +20,27 @@
 // rows: a redeliverable read, a deduplicated write, an at-most-once one, and one dropped by its zone alone.
 func rows() []*Category {
 	return []*Category{
-		{Target: 100, Benefit: 1, Tardy: 0.5, Repeat: Redeliverable},
-		{Target: 100, Benefit: 1, Tardy: 0.5, Repeat: Deduplicated, Window: 300},
-		{Target: 100, Benefit: 1, Tardy: 0.5, Repeat: AtMostOnce},
-		{Target: 100, Benefit: 1, Tardy: 0.5, Repeat: Deduplicated, Group: ZoneHosts, Window: 300},
+		{Target: 100, Benefit: 1, LateBenefit: 0.5, Repeat: Redeliverable},
+		{Target: 100, Benefit: 1, LateBenefit: 0.5, Repeat: Deduplicated, DedupWindow: 300},
+		{Target: 100, Benefit: 1, LateBenefit: 0.5, Repeat: AtMostOnce},
+		{Target: 100, Benefit: 1, LateBenefit: 0.5, Repeat: Deduplicated, DedupScope: DedupZone, DedupWindow: 300},
 	}
 }
 
-func start() Start {
-	return Start{Seed: 1, Categories: rows(), Group: 1, Quantum: 1, MostPushes: 3, MayCancel: true, ConnIdle: 60000,
-		ColdShare: 0.3, ColdFor: 5000, TipMultiple: 3, TipFor: 1000, MaxBackoff: 50, ExcessBenefit: 0.1}
+func start() Config {
+	return Config{Seed: 1, Categories: rows(), GroupSize: 1, Quantum: 1, MaxPushes: 3, AllowCancel: true, ConnIdleTimeout: 60000,
+		ColdCapacity: 0.3, WarmupTime: 5000, OverloadMultiple: 3, OverloadTime: 1000, MaxBackoff: 50, ExcessBenefit: 0.1}
 }
 
 // open starts a balancer and lists hosts; a name that starts with o is the origin's.
-func open(s Start, names ...string) *scene {
+func open(s Config, names ...string) *scene {
 	x := boot(s)
 	x.list(true, names...)
 	return x
 }
 
 // boot starts a balancer that has no list yet.
-func boot(s Start) *scene {
+func boot(s Config) *scene {
 	x := &scene{ops: map[string]*Op{}, hosts: map[string]*Host{}, pushes: map[string]int{}}
 	x.Balancer = New(s, x, 0)
 	return x
@@ -48,14 +48,14 @@
 
 // list tells of ready hosts; zone and cell are 0 for the first named, 1 for the next, and so on.
 func (x *scene) list(whole bool, names ...string) {
-	var entries []Entry
+	var entries []HostEntry
 	for i, n := range names {
 		if x.hosts[n] == nil {
-			x.hosts[n] = &Host{Name: n, Origin: n[0] == 'o'}
+			x.hosts[n] = &Host{Name: n, IsOrigin: n[0] == 'o'}
 		}
-		entries = append(entries, Entry{x.hosts[n], Listing{Zone: i, Cell: i, Size: 1}})
+		entries = append(entries, HostEntry{x.hosts[n], Listing{Zone: i, Cell: i, Size: 1}})
 	}
-	x.List(entries, whole, false)
+	x.HostsListed(entries, whole, false)
 }
 
 // tell lists one host anew.
@@ -63,7 +63,7 @@
 	if x.hosts[name] == nil {
 		x.hosts[name] = &Host{Name: name}
 	}
-	x.List([]Entry{{x.hosts[name], Listing{Size: 1, Status: status, UpSince: upSince}}}, false, false)
+	x.HostsListed([]HostEntry{{x.hosts[name], Listing{Size: 1, Status: status, UpSince: upSince}}}, false, false)
 }
 
 // after lets time pass, with the timer's calls.
@@ -71,10 +71,10 @@
 	for end := x.t + ms; ; {
 		next := math.Min(end, x.wake)
 		x.t = next
-		x.At(next)
+		x.Advance(next)
 		x.hear()
 		if next == x.wake && next < end {
-			x.Woke()
+			x.TimerFired()
 			x.hear()
 			continue
 		}
@@ -85,23 +85,23 @@
 // hear tells of the pushes that have been called off.
 func (x *scene) hear() {
 	for _, p := range x.called {
-		x.Ended(p, Cancelled, x.t-p.sent, p.Op.state == settled, nil)
+		x.PushEnded(p, Cancelled, x.t-p.sentAt, p.Op.state == stateSettled, nil)
 	}
 	x.called = x.called[:0]
 }
 
 // ask lets an op of a row arrive for a key, with ttl ms left; its handle is its name.
 func (x *scene) ask(name string, row int, key string, ttl float64, write bool) *Op {
-	op := &Op{Ref: name, Category: x.Categories[row], Key: key, Due: x.t + ttl, Write: write}
+	op := &Op{Ref: name, Category: x.Categories[row], Key: key, Deadline: x.t + ttl, IsWrite: write}
 	x.ops[name] = op
-	x.Arrive(op)
+	x.OpArrived(op)
 	return op
 }
 
 // at is the first push of op that is out, or nil.
 func at(op *Op) *Push {
-	for _, p := range op.tried {
-		if !p.over {
+	for _, p := range op.pushes {
+		if !p.ended {
 			return p
 		}
 	}
@@ -117,8 +117,8 @@
 
 // over reports the outcome of a push after ms.
 func (x *scene) over(p *Push, o Outcome, spent float64) {
-	name, late := p.Op.Ref, p.Op.state == settled
-	x.Ended(p, o, spent, o == Served || late, nil)
+	name, late := p.Op.Ref, p.Op.state == stateSettled
+	x.PushEnded(p, o, spent, o == Served || late, nil)
 	if o == Served && !late && !x.silent {
 		fmt.Printf("%4.0f %s acked\n", x.t, name)
 	}
@@ -141,6 +141,6 @@
 
 func (x *scene) Nack(op *Op, wait float64) { x.say("nack %s", op.Ref) }
 func (x *scene) DeadLetter(op *Op)         { x.say("dead-letter %s", op.Ref) }
-func (x *scene) Wake(after float64)        { x.wake = x.t + after }
-func (x *scene) Watch()                    { x.say("watch") }
-func (x *scene) HangUp(h *Host)            { x.say("hang up %s", h.Name) }
+func (x *scene) SetTimer(after float64)    { x.wake = x.t + after }
+func (x *scene) SubscribeHostList()        { x.say("watch") }
+func (x *scene) CloseIdleConns(h *Host)    { x.say("hang up %s", h.Name) }
--- a/balance/walk_test.go
+++ b/balance/walk_test.go
@@ -25,10 +25,10 @@
 	homes := func(x *scene) map[string]*Host {
 		m := map[string]*Host{}
 		for i := range 1000 {
-			op := &Op{Key: fmt.Sprint("key", i), Category: x.Categories[0], Due: 1e6}
-			x.Arrive(op)
+			op := &Op{Key: fmt.Sprint("key", i), Category: x.Categories[0], Deadline: 1e6}
+			x.OpArrived(op)
 			m[op.Key] = at(op).Host
-			x.Ended(at(op), Served, 10, true, nil)
+			x.PushEnded(at(op), Served, 10, true, nil)
 		}
 		return m
 	}
@@ -57,7 +57,7 @@
 	x.ask("op1", 0, "page", 500, false)
 	x.tell("c", Draining, 0)
 	x.ask("op2", 0, "page", 500, false)
-	x.end("op1", Refused, 1)
+	x.end("op1", Overloaded, 1)
 	x.end("op0", Served, 10)
 	// Output:
 	// 0 push op0 to c
@@ -72,7 +72,7 @@
 func Example_crowdedHost() {
 	for _, group := range []int{1, 3, 12} {
 		s := start()
-		s.Group = group
+		s.GroupSize = group
 		x := open(s, "a", "b", "c", "d")
 		x.silent = true
 		for i := range 20 {
@@ -99,13 +99,13 @@
 func Example_crowdedByOneEach() {
 	for _, group := range []int{3, 100} {
 		s := start()
-		s.Group = group
+		s.GroupSize = group
 		x := open(s, "a", "b", "c", "d")
 		x.silent = true
 		for range 40 {
 			x.after(100)
 			if at(x.ask("op", 0, "page", 500, false)).Host.Name == "c" {
-				x.end("op", Refused, 1)
+				x.end("op", Overloaded, 1)
 			}
 			x.end("op", Served, 25)
 		}
@@ -120,7 +120,7 @@
 // three hundred ever has two ops out.
 func Example_busyKey() {
 	s := start()
-	s.MayDuplicate = true
+	s.AllowHedging = true
 	var names []string
 	for i := range 40 {
 		names = append(names, fmt.Sprint("h", i))
@@ -149,11 +149,11 @@
 // A slow host loses a part of its keys, and all balancers agree on which: they move to where others look for them, too.
 func Example_slowHostOfMany() {
 	s := start()
-	s.MayDuplicate = true
+	s.AllowHedging = true
 	moved := map[string]int{}
 	all := group(40, s, "a", "b", "c", "d")
 	for _, x := range all {
-		x.hosts["c"].slow = 2
+		x.hosts["c"].slowdown = 2
 		for i := range 60 {
 			key := fmt.Sprint("key", i)
 			home := x.ask(key, 0, key, 500, false)
@@ -161,7 +161,7 @@
 				moved[key+h]++
 			}
 			x.end(key, Served, 30)
-			x.hosts["c"].slow = 2
+			x.hosts["c"].slowdown = 2
 		}
 	}
 	agreed := 0
@@ -185,11 +185,11 @@
 	x.end("light", Served, 10)
 	x.after(60)
 	for range 9 {
-		x.heat[x.ops["heavy"].hash%cells]++
-		x.heatAll++
+		x.keyCounts[x.ops["heavy"].keyHash%keyBuckets]++
+		x.keyCountSum++
 	}
-	for _, x.busy = range []float64{0, 0.9, 0.3} {
-		fmt.Printf("busy %.1f: over %.1f hosts\n", x.busy, x.spread(x.ops["heavy"]))
+	for _, x.avgBusy = range []float64{0, 0.9, 0.3} {
+		fmt.Printf("busy %.1f: over %.1f hosts\n", x.avgBusy, x.hotKeySpread(x.ops["heavy"]))
 	}
 	// Output:
 	// 0 push heavy to c
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -16,29 +16,29 @@
 		name := fmt.Sprint("op", i)
 		outs = append(outs, x.ask(name, 0, name, 400, false))
 		for _, op := range outs {
-			if op.out > 0 && at(op).Host.Name < "c" {
+			if op.inFlight > 0 && at(op).Host.Name < "c" {
 				x.end(op.Ref.(string), Served, 10)
 				served++
 			}
 		}
-		outs = slices.DeleteFunc(outs, (*Op).Over)
+		outs = slices.DeleteFunc(outs, (*Op).IsDone)
 	}
-	fmt.Println("served:", served > 2700, "gate above its floor:", x.fleet.limit > x.fleet.floor)
+	fmt.Println("served:", served > 2700, "gate above its floor:", x.fleetLimiter.limit > x.fleetLimiter.minLimit)
 	// Output:
 	// served: true gate above its floor: true
 }
 
 // zones opens a balancer of the first of two zones; the hosts in upper case stand in its zone.
-func zones(s Start, names ...string) *scene {
-	s.Zone, s.Zones, s.CrossCost, s.Aside = 0, 2, 0.03, true
+func zones(s Config, names ...string) *scene {
+	s.Zone, s.ZoneCount, s.CrossZoneCost, s.CacheAside = 0, 2, 0.03, true
 	x := boot(s)
 	for _, n := range names {
-		x.hosts[n] = &Host{Name: n, Origin: n[0] == 'o'}
+		x.hosts[n] = &Host{Name: n, IsOrigin: n[0] == 'o'}
 		zone := 1
 		if n < "a" {
 			zone = 0
 		}
-		x.List([]Entry{{x.hosts[n], Listing{Zone: zone, Size: 1}}}, false, false)
+		x.HostsListed([]HostEntry{{x.hosts[n], Listing{Zone: zone, Size: 1}}}, false, false)
 	}
 	return x
 }
@@ -64,7 +64,7 @@
 	for i := range 12 {
 		name := fmt.Sprint("miss", i)
 		x.ask(name, 0, name, 900, false)
-		x.end(name, Missed, 1)
+		x.end(name, CacheMiss, 1)
 		x.after(90)
 		x.end(name, Served, 90)
 	}
@@ -83,11 +83,11 @@
 	for i := range 60 {
 		name := fmt.Sprint("op", i)
 		op := x.ask(name, 0, name, 900, false)
-		x.Ended(at(op), Refused, 1, false, &Report{Busy: 0.9})
-		x.Ended(at(op), Served, 1, true, &Report{Busy: 0.2})
+		x.PushEnded(at(op), Overloaded, 1, false, &LoadReport{Busy: 0.9})
+		x.PushEnded(at(op), Served, 1, true, &LoadReport{Busy: 0.2})
 		x.after(400)
 	}
-	fmt.Println("keys that keep to no zone:", x.pool > 0.8)
+	fmt.Println("keys that keep to no zone:", x.crossZoneShare > 0.8)
 	// Output:
 	// keys that keep to no zone: true
 }
@@ -95,7 +95,7 @@
 // A deduplicated op that may have run stays with its zone's hosts, also when its last push would be the origin's.
 func Example_zoneOfOrigin() {
 	s := start()
-	s.MostPushes, s.Aside = 2, true
+	s.MaxPushes, s.CacheAside = 2, true
 	x := open(s, "a", "origin")
 	x.ask("op", 3, "page", 500, false)
 	x.end("op", Failed, 5)
@@ -109,14 +109,14 @@
 func Example_zonesOfMany() {
 	for _, group := range []int{3, 5} {
 		s := start()
-		s.FetchCost, s.Group = 0.03, group
+		s.FetchCost, s.GroupSize = 0.03, group
 		x := zones(s)
-		var entries []Entry
+		var entries []HostEntry
 		for i, n := range []string{"A", "B", "c", "d"} {
 			x.hosts[n] = &Host{Name: n}
-			entries = append(entries, Entry{x.hosts[n], Listing{Zone: i / 2, Size: 1}})
+			entries = append(entries, HostEntry{x.hosts[n], Listing{Zone: i / 2, Size: 1}})
 		}
-		x.List(entries, true, false)
+		x.HostsListed(entries, true, false)
 		x.silent = true
 		near := func() int {
 			x.pushes = map[string]int{}
@@ -131,7 +131,7 @@
 		for i := range 12 {
 			name := fmt.Sprint("turned away", i)
 			x.ask(name, 0, name, 900, false)
-			x.end(name, Shut, 1)
+			x.end(name, ConnLimited, 1)
 			x.end(name, Served, 5)
 		}
 		x.after(20000)
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -134,9 +134,9 @@
 func (p *port) Cancel(*balance.Push)            {}
 func (p *port) Nack(*balance.Op, float64)       { p.went = append(p.went, "nack") }
 func (p *port) DeadLetter(*balance.Op)          { p.went = append(p.went, "dead letter") }
-func (p *port) Wake(float64)                    {}
-func (p *port) Watch()                          {}
-func (p *port) HangUp(*balance.Host)            {}
+func (p *port) SetTimer(float64)                {}
+func (p *port) SubscribeHostList()              {}
+func (p *port) CloseIdleConns(*balance.Host)    {}
 
 // The same fleet in both forms routes alike, key by key.
 func Example_routesAlike() {
@@ -153,18 +153,18 @@
 			return
 		}
 		p := &port{}
-		read := &balance.Category{Target: 100, Benefit: 1, Tardy: 0.5}
-		b := balance.New(balance.Start{Seed: 1, Categories: []*balance.Category{read}, Group: 1, MostPushes: 3, ConnIdle: 1000}, p, 0)
-		var entries []balance.Entry
+		read := &balance.Category{Target: 100, Benefit: 1, LateBenefit: 0.5}
+		b := balance.New(balance.Config{Seed: 1, Categories: []*balance.Category{read}, GroupSize: 1, MaxPushes: 3, ConnIdleTimeout: 1000}, p, 0)
+		var entries []balance.HostEntry
 		for _, h := range hosts {
-			entries = append(entries, balance.Entry{Host: &balance.Host{Name: h.ID}, Listing: balance.Listing{Size: h.Weight}})
+			entries = append(entries, balance.HostEntry{Host: &balance.Host{Name: h.ID}, Listing: balance.Listing{Size: h.Weight}})
 		}
-		b.List(entries, true, false)
+		b.HostsListed(entries, true, false)
 		for k := range 5000 {
-			op := &balance.Op{Category: read, Key: fmt.Sprint("key", k), Due: 500}
+			op := &balance.Op{Category: read, Key: fmt.Sprint("key", k), Deadline: 500}
 			n := len(p.went)
-			if b.Arrive(op); k%200 != 0 && len(p.went) > n { // some stay out, so that hosts fill
-				b.Left(op)
+			if b.OpArrived(op); k%200 != 0 && len(p.went) > n { // some stay out, so that hosts fill
+				b.ClientLeft(op)
 			}
 		}
 		went[i] = p.went
--- a/internal/params/many_test.go
+++ b/internal/params/many_test.go
@@ -37,8 +37,8 @@
 			t.Fatalf("%.400s", err)
 		}
 		s, byName, tenants := startFile.Params.Begin(startFile.Seed)
-		if s.Group != group || len(s.Categories) != n || len(byName) != n || len(s.Tenants) != n || len(tenants) != n || s.Zone != n-1 {
-			t.Errorf("group %d, %d and %d categories, %d and %d tenants, zone %d", s.Group, len(s.Categories), len(byName),
+		if s.GroupSize != group || len(s.Categories) != n || len(byName) != n || len(s.Tenants) != n || len(tenants) != n || s.Zone != n-1 {
+			t.Errorf("group %d, %d and %d categories, %d and %d tenants, zone %d", s.GroupSize, len(s.Categories), len(byName),
 				len(s.Tenants), len(tenants), s.Zone)
 		}
 		for i := range n {
--- a/internal/params/params.go
+++ b/internal/params/params.go
@@ -81,11 +81,11 @@
 	Ordered bool    `json:"keepOrder"`
 }
 
-var repeats = map[string]balance.Repeat{"retryable": balance.Redeliverable, "dedup": balance.Deduplicated,
+var repeats = map[string]balance.RepeatPolicy{"retryable": balance.Redeliverable, "dedup": balance.Deduplicated,
 	"fragile": balance.AtMostOnce}
 
-var groups = map[string]balance.Group{"": balance.AllHosts, "all": balance.AllHosts,
-	"zone": balance.ZoneHosts, "cell": balance.CellHosts}
+var groups = map[string]balance.DedupScope{"": balance.DedupAllHosts, "all": balance.DedupAllHosts,
+	"zone": balance.DedupZone, "cell": balance.DedupCell}
 
 // Read reads the parameters of an instance. An error names every fault, each with its key.
 func Read(raw json.RawMessage) (Params, error) {
@@ -179,11 +179,11 @@
 
 // Report takes a value of a host's report under its name, in place of what r holds. What is not asked for, or makes no
 // sense, is passed over.
-func (p Params) Report(r *balance.Report, name string, value float64) *balance.Report {
+func (p Params) Report(r *balance.LoadReport, name string, value float64) *balance.LoadReport {
 	if name != "busy" || !slices.Contains(p.Load.Fields, name) || !(value >= 0) || math.IsInf(value, 1) {
 		return r
 	}
-	return &balance.Report{Busy: value}
+	return &balance.LoadReport{Busy: value}
 }
 
 // IsOrigin tells whether hosts of a machine kind are origins.
@@ -193,32 +193,32 @@
 }
 
 // Begin gives the module its start, with tables from names to rows for the front.
-func (p Params) Begin(seed uint64) (balance.Start, map[string]*balance.Category, map[string]*balance.Tenant) {
-	s := balance.Start{
-		Seed: seed, Group: p.GroupSize, Quantum: p.Quantum / 1000,
-		Aside: p.Specifics.Mode == "aside", OnRequest: p.Discovery == "on_request",
-		ByWork: p.BenefitBy == "work", MostPushes: p.Limits.MostPushes, MayCancel: p.Limits.Cancelling,
-		MayDuplicate: p.Limits.MayDuplicate,
-		ConnIdle:     p.Limits.ConnIdle / 1000,
-		ColdShare:    p.Guarantees.ColdShare, ColdFor: p.Guarantees.ColdFor / 1000,
-		TipMultiple: p.Guarantees.TipMultiple, TipFor: p.Guarantees.FallFor / 1000,
+func (p Params) Begin(seed uint64) (balance.Config, map[string]*balance.Category, map[string]*balance.Tenant) {
+	s := balance.Config{
+		Seed: seed, GroupSize: p.GroupSize, Quantum: p.Quantum / 1000,
+		CacheAside: p.Specifics.Mode == "aside", ListOnRequest: p.Discovery == "on_request",
+		BenefitPerWork: p.BenefitBy == "work", MaxPushes: p.Limits.MostPushes, AllowCancel: p.Limits.Cancelling,
+		AllowHedging:    p.Limits.MayDuplicate,
+		ConnIdleTimeout: p.Limits.ConnIdle / 1000,
+		ColdCapacity:    p.Guarantees.ColdShare, WarmupTime: p.Guarantees.ColdFor / 1000,
+		OverloadMultiple: p.Guarantees.TipMultiple, OverloadTime: p.Guarantees.FallFor / 1000,
 		ExcessBenefit: p.ExcessBenefit,
-		Zone:          slices.Index(p.Zones, p.Zone), Zones: len(p.Zones),
-		CrossCost: p.Costs.CrossZone, FetchCost: p.Costs.Origin,
-		KeyRest: p.Guarantees.KeyQuiet / 1000, LeftOff: p.Guarantees.LeftOff / 1000,
-		StampDoubt: p.Guarantees.StampDoubt / 1000, GoneIsAdvice: p.Guarantees.GoneAdvice,
-		KeptPromises: value(p.Blend.Promises) > 0, ReplySlots: value(p.Limits.ReplySlots),
+		Zone:          slices.Index(p.Zones, p.Zone), ZoneCount: len(p.Zones),
+		CrossZoneCost: p.Costs.CrossZone, FetchCost: p.Costs.Origin,
+		KeyQuietTime: p.Guarantees.KeyQuiet / 1000, DeadlineSkew: p.Guarantees.LeftOff / 1000,
+		UpSinceSkew: p.Guarantees.StampDoubt / 1000, GoneIsAdvisory: p.Guarantees.GoneAdvice,
+		TimelyNackMeetsTarget: value(p.Blend.Promises) > 0, ReplySlots: value(p.Limits.ReplySlots),
 	}
-	if s.ConnIdle <= 0 { // not told: they stay open
-		s.ConnIdle = math.Inf(1)
+	if s.ConnIdleTimeout <= 0 { // not told: they stay open
+		s.ConnIdleTimeout = math.Inf(1)
 	}
 	if p.Limits.RetryAfter {
 		s.MaxBackoff = p.Limits.MaxBackoff / 1000
 	}
 	categories := map[string]*balance.Category{}
 	for _, c := range p.Categories {
-		row := &balance.Category{Target: c.Target / 1000, Benefit: c.Benefit, Tardy: c.Tardy,
-			Repeat: repeats[c.Repeat], Group: groups[c.Group], Window: c.Window / 1000,
+		row := &balance.Category{Target: c.Target / 1000, Benefit: c.Benefit, LateBenefit: c.Tardy,
+			Repeat: repeats[c.Repeat], DedupScope: groups[c.Group], DedupWindow: c.Window / 1000,
 			Ordered: c.Ordered}
 		s.Categories = append(s.Categories, row)
 		categories[c.Name] = row
--- a/internal/params/params_test.go
+++ b/internal/params/params_test.go
@@ -17,7 +17,7 @@
 	read := func(pairs ...string) {
 		p, err := Read(json.RawMessage(strings.NewReplacer(pairs...).Replace(usual)))
 		begin, _, _ := p.Begin(1)
-		fmt.Println(begin.MayDuplicate, err)
+		fmt.Println(begin.AllowHedging, err)
 	}
 	read()
 	read(`"mostPushes":3`, `"mostPushes":2,"mayDuplicate":true`)
@@ -100,7 +100,7 @@
 		`"blend":{`, `"guarantees":{"keyQuietUs":50000,"leftOffUs":1000000,"stampDoubtUs":2000,"goneIsAdvice":true},`+
 			`"blend":{"keptPromises":0.4,"missAllowed":0.01,`, `"mostPushes":3`, `"mostPushes":3,"replySlots":26`).Replace(usual)))
 	s, categories, _ := p.Begin(1)
-	fmt.Println(err, categories["read"].Ordered, s.KeyRest, s.LeftOff, s.StampDoubt, s.GoneIsAdvice, s.KeptPromises, s.ReplySlots)
+	fmt.Println(err, categories["read"].Ordered, s.KeyQuietTime, s.DeadlineSkew, s.UpSinceSkew, s.GoneIsAdvisory, s.TimelyNackMeetsTarget, s.ReplySlots)
 	// Output:
 	// <nil> true 50 1000 2 true true 26
 }
--- a/internal/routing/ban.go
+++ b/internal/routing/ban.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	r.balancer.Ban(&h.Host, out)
+	r.balancer.SetBanned(&h.Host, out)
 	if out {
 		h.takeOut()
 		return nil
@@ -64,7 +64,7 @@
 	if len(hosts) == 0 {
 		return
 	}
-	r.balancer.BanAll(hosts)
+	r.balancer.BanHosts(hosts)
 	for _, b := range hosts {
 		b.Ref.(*host).takeOut()
 	}
@@ -86,7 +86,7 @@
 	switch {
 	case h == nil:
 		return nil, ErrNeverListed
-	case h.Origin:
+	case h.IsOrigin:
 		return nil, errOrigin
 	}
 	return h, nil
--- a/internal/routing/client.go
+++ b/internal/routing/client.go
@@ -170,7 +170,7 @@
 	}
 	took := false
 	for c.ending == "" && len(c.line) < lineMost && conn.Out.Len() < replyMost {
-		room, backoff := c.router.balancer.Room()
+		room, backoff := c.router.balancer.Admit()
 		if !room && c.turnAway(backoff) {
 			took = true
 			continue
@@ -242,9 +242,9 @@
 		r.clients.ops[command.ID], o.pushes = o, o.first[:0]
 		c.proven = true
 		o.deadline = c.conn.Arrived + command.TTL
-		o.Op = balance.Op{Ref: o, Category: category, Key: command.Key, Due: o.deadline,
-			Write: command.Verb == protocol.Set}
-		r.balancer.Arrive(&o.Op)
+		o.Op = balance.Op{Ref: o, Category: category, Key: command.Key, Deadline: o.deadline,
+			IsWrite: command.Verb == protocol.Set}
+		r.balancer.OpArrived(&o.Op)
 		return
 	}
 	c.answer(o)
@@ -310,7 +310,7 @@
 	for _, o := range line {
 		if o.state == open {
 			o.move(abandoned)
-			r.balancer.Left(&o.Op)
+			r.balancer.ClientLeft(&o.Op)
 		}
 		if o.flow != nil && o.flow.link.push.state == flowing { // where calling off is not allowed it goes nowhere either
 			o.flow.link.push.callOff(transport.CalledOff)
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -36,6 +36,6 @@
 // Figures tells how things stand.
 func (r *Router) Figures() Figures {
 	f := Figures{Categories: r.counters.tallies, Pushes: r.counters.pushes, Open: len(r.clients.ops)}
-	f.Hosts, f.Avoided = r.balancer.Hosts()
+	f.Hosts, f.Avoided = r.balancer.HostCounts()
 	return f
 }
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -25,7 +25,7 @@
 	p.move(flowing)
 	l.flow, p.op.flow = f, f
 	f.stuck.Fire = f.stopped
-	l.router.balancer.Streaming(p.Push)
+	l.router.balancer.StreamingStarted(p.Push)
 	f.op.client.conn.Wrote = f.op.client.wrote
 	f.advance()
 }
@@ -54,13 +54,13 @@
 		switch {
 		case err != nil:
 			l.router.log.Warn("answer not understood", "peer", l.host.Name, "error", err)
-			f.broke(transport.BadInput, balance.Spoilt)
+			f.broke(transport.BadInput, balance.InvalidAnswer)
 			return
 		case over:
 			f.whole()
 			return
 		case f.closed && c.conn.Out.Len() < flowMost: // there was room for all that has come
-			f.broke(transport.PeerClosed, balance.Broken)
+			f.broke(transport.PeerClosed, balance.ConnBroken)
 			return
 		}
 	}
--- a/internal/routing/host_pool.go
+++ b/internal/routing/host_pool.go
@@ -37,7 +37,7 @@
 
 // add makes a host known.
 func (p *hostPool) add(id string, origin bool) *host {
-	h := &host{Host: balance.Host{Name: id, Origin: origin}}
+	h := &host{Host: balance.Host{Name: id, IsOrigin: origin}}
 	h.Ref = h
 	p.byID[id] = h
 	return h
@@ -55,7 +55,7 @@
 			h.leave() // a whole list does not name it
 		case now-h.gone > goneFor && len(h.pushes) == 0 && !h.Banned:
 			delete(p.byID, id)
-			if !h.Origin {
+			if !h.IsOrigin {
 				p.past.add(id)
 			}
 		}
--- a/internal/routing/inventory_test.go
+++ b/internal/routing/inventory_test.go
@@ -25,7 +25,7 @@
 		panic(err)
 	}
 	r := &Router{loop: loop, log: loop.Log, hosts: newHostPool(0), inventory: inventoryState{inUse: true}}
-	r.balancer = balance.New(balance.Start{Group: 1, ColdFor: 5000, ColdShare: 0.5, ConnIdle: 1,
+	r.balancer = balance.New(balance.Config{GroupSize: 1, WarmupTime: 5000, ColdCapacity: 0.5, ConnIdleTimeout: 1,
 		Categories: []*balance.Category{{Target: 100}}}, r, loop.Now())
 	return r
 }
@@ -43,7 +43,7 @@
 				cold = append(cold, h.ID)
 			}
 		}
-		listed, _ := r.balancer.Hosts()
+		listed, _ := r.balancer.HostCounts()
 		fmt.Println(listed, "listed; cold:", cold)
 	}
 	f := fleetOf(3)
--- a/internal/routing/link.go
+++ b/internal/routing/link.go
@@ -36,7 +36,7 @@
 		h.hangUp(transport.Doubted)
 	}
 	least := 0.0
-	if careful || h.Origin {
+	if careful || h.IsOrigin {
 		least = secondFor
 	}
 	if l := h.rested(r, least); l != nil {
@@ -44,7 +44,7 @@
 	}
 	l := &link{router: r, host: h}
 	kind := "host"
-	if l.reader = (&protocol.Answers{}); h.Origin {
+	if l.reader = (&protocol.Answers{}); h.IsOrigin {
 		kind, l.reader = "origin", protocol.NewFetched()
 	}
 	l.conn = r.loop.Dial(kind, h.address, l)
@@ -108,7 +108,7 @@
 		l.rest = protocol.WriteCommand(&l.conn.Out, p.op.command, int(remaining))
 	}
 	if p.op.command.Verb == protocol.Set {
-		l.router.loop.Set(&p.before, min(sending, p.Before-l.router.loop.Now()))
+		l.router.loop.Set(&p.before, min(sending, p.SendBy-l.router.loop.Now()))
 	}
 }
 
@@ -136,7 +136,7 @@
 		return
 	}
 	l.host.silent = true
-	l.fail(transport.ConnectLate, balance.NoConn)
+	l.fail(transport.ConnectLate, balance.ConnectFailed)
 }
 
 // fail closes the connection and ends the push on it.
@@ -180,7 +180,7 @@
 	switch {
 	case err != nil:
 		l.router.log.Warn("answer not understood", "peer", l.host.Name, "error", err)
-		l.fail(transport.BadInput, balance.Spoilt)
+		l.fail(transport.BadInput, balance.InvalidAnswer)
 	case a != nil:
 		l.answered(a)
 	}
@@ -203,14 +203,14 @@
 			return
 		}
 	}
-	o := balance.Broken
+	o := balance.ConnBroken
 	switch {
 	case why == transport.OutOfSockets:
 		o = balance.NotSent
 	case l.push != nil && !l.push.sent(): // its last byte was never written
-		o = balance.NoConn
+		o = balance.ConnectFailed
 	case l.kept && !l.heard:
-		o = balance.Stale
+		o = balance.StaleConn
 	}
 	l.fail(why, o)
 }
@@ -221,7 +221,7 @@
 	sent := p.sent()
 	if !a.To(op.command) || !sent && a.Kind <= protocol.Miss { // none has an answer to what has not been said
 		a.Value.Free()
-		l.fail(transport.WrongAnswer, balance.Spoilt)
+		l.fail(transport.WrongAnswer, balance.InvalidAnswer)
 		return
 	}
 	l.host.silent, l.host.heard = false, l.router.loop.Now()
@@ -237,8 +237,8 @@
 	l.push = nil
 	o := outcomes[a.Kind]
 	switch {
-	case o == balance.Refused && !l.kept && !l.host.Origin && l.conn.AtEnd():
-		o = balance.Shut
+	case o == balance.Overloaded && !l.kept && !l.host.IsOrigin && l.conn.AtEnd():
+		o = balance.ConnLimited
 		l.close(transport.TableFull)
 	case !sent: // the rest of the push would stand before the next
 		l.close(transport.EarlyAnswer)
@@ -278,8 +278,8 @@
 }
 
 var outcomes = map[protocol.Kind]balance.Outcome{protocol.Value: balance.Served, protocol.Receipt: balance.Served,
-	protocol.Miss: balance.Missed, protocol.Busy: balance.Refused, protocol.Failure: balance.Failed,
-	protocol.Refusal: balance.Rejected}
+	protocol.Miss: balance.CacheMiss, protocol.Busy: balance.Overloaded, protocol.Failure: balance.Failed,
+	protocol.Refusal: balance.InvalidOp}
 
 // hangUp closes the connections that carry nothing.
 func (h *host) hangUp(why transport.Reason) {
--- a/internal/routing/link_test.go
+++ b/internal/routing/link_test.go
@@ -22,7 +22,7 @@
 		return
 	}
 	r := &Router{loop: loop}
-	h := &host{Host: balance.Host{Origin: true}, address: netip.MustParseAddrPort("127.0.0.1:1")}
+	h := &host{Host: balance.Host{IsOrigin: true}, address: netip.MustParseAddrPort("127.0.0.1:1")}
 	l := h.link(r, false)
 	l.push = &push{router: r, link: l, op: &op{command: &protocol.Command{}}}
 	l.conn.In.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
@@ -44,7 +44,7 @@
 		return
 	}
 	r := &Router{loop: loop, hosts: newHostPool(0)}
-	r.balancer = balance.New(balance.Start{Group: 1}, r, 0)
+	r.balancer = balance.New(balance.Config{GroupSize: 1}, r, 0)
 	tell := func(whole bool, phase protocol.Phase, ids ...string) {
 		l := &protocol.List{}
 		for _, id := range ids {
--- a/internal/routing/port.go
+++ b/internal/routing/port.go
@@ -22,7 +22,7 @@
 	p.op.pushes = append(p.op.pushes, p)
 	b.Host.Ref.(*host).link(r, b.Op.Category.Repeat != balance.Redeliverable).carry(p)
 	if !p.link.conn.Up() { // else it goes out with this round
-		r.loop.Set(&p.before, b.Before-now)
+		r.loop.Set(&p.before, b.SendBy-now)
 	}
 }
 
@@ -50,18 +50,18 @@
 	op.client.answer(op)
 }
 
-// Wake has the balancer woken after that many ms.
-func (r *Router) Wake(after float64) { r.loop.Set(&r.wake, after) }
+// SetTimer has the balancer woken after that many ms.
+func (r *Router) SetTimer(after float64) { r.loop.Set(&r.wake, after) }
 
-// Watch begins a new watch on discovery's list.
-func (r *Router) Watch() { r.watch.begin() }
+// SubscribeHostList begins a new watch on discovery's list.
+func (r *Router) SubscribeHostList() { r.watch.begin() }
 
-// HangUp closes the idle connections to a host.
-func (r *Router) HangUp(h *balance.Host) { h.Ref.(*host).hangUp(transport.HungUp) }
+// CloseIdleConns closes the idle connections to a host.
+func (r *Router) CloseIdleConns(h *balance.Host) { h.Ref.(*host).hangUp(transport.HungUp) }
 
 // ended tells the balancer how a push ended, and what its host told of its load, if anything.
 func (r *Router) ended(p *push, o balance.Outcome, load ...protocol.Attr) {
-	var report *balance.Report
+	var report *balance.LoadReport
 	for _, a := range load {
 		if v, err := strconv.ParseFloat(a.Value, 64); err == nil {
 			report = r.configuration.params.Report(report, a.Name, v)
@@ -71,8 +71,8 @@
 	switch {
 	case p.took > 0: // a long value counts by its first bytes
 		spent = p.took
-	case o == balance.Served || o == balance.Missed:
+	case o == balance.Served || o == balance.CacheMiss:
 		spent = max(0, r.loop.Heard()-p.began)
 	}
-	r.balancer.Ended(p.Push, o, spent, p.op.state != open, report)
+	r.balancer.PushEnded(p.Push, o, spent, p.op.state != open, report)
 }
--- a/internal/routing/push.go
+++ b/internal/routing/push.go
@@ -94,7 +94,7 @@
 func (p *push) late() {
 	outcome := balance.TimedOut
 	if !p.sent() {
-		outcome = balance.NoConn
+		outcome = balance.ConnectFailed
 	}
 	p.unheard()
 	p.link.fail(transport.PushLate, outcome)
@@ -106,7 +106,7 @@
 	if !p.gone {
 		p.gone = true
 		now := p.router.loop.Clock()
-		p.router.balancer.Went(p.Push, now-p.began, !p.link.kept)
+		p.router.balancer.PushStarted(p.Push, now-p.began, !p.link.kept)
 		p.began = now
 	}
 }
--- a/internal/routing/reload.go
+++ b/internal/routing/reload.go
@@ -32,6 +32,6 @@
 	if startFile.Discovery != r.watch.address && !r.inventory.inUse {
 		r.watch.end(transport.WatchMoved)
 		r.watch.address = startFile.Discovery
-		r.balancer.ListMoved()
+		r.balancer.HostListMoved()
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -78,7 +78,7 @@
 	}
 	r.watch = watch{router: r, address: startFile.Discovery}
 	r.watch.limit.Fire = r.watch.overdue
-	r.wake.Fire = func() { r.balancer.Woke() }
+	r.wake.Fire = func() { r.balancer.TimerFired() }
 	r.shutdown.timer.Fire = r.sweep
 	var known protocol.List
 	if len(startFile.Known) > 0 && string(startFile.Known) != "null" {
@@ -86,14 +86,14 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	var begin balance.Start
+	var begin balance.Config
 	begin, r.configuration.categories, _ = startFile.Params.Begin(startFile.Seed)
-	begin.OnRequest = !byHand // also where lists are pushed: only to those who watch
+	begin.ListOnRequest = !byHand // also where lists are pushed: only to those who watch
 	r.counters = newCounters()
 	for _, c := range startFile.Params.Categories {
 		r.counters.add(c.Name, r.configuration.categories[c.Name])
 	}
-	r.hosts.idleTimeout = begin.ConnIdle
+	r.hosts.idleTimeout = begin.ConnIdleTimeout
 	r.watch.revision = known.Revision
 	r.balancer = balance.New(begin, r, loop.Now())
 	if len(known.Members) > 0 {
@@ -106,8 +106,8 @@
 // round begins a round of input: the time, and the outcomes of the pushes called off in the last.
 func (r *Router) round(now float64) {
 	r.shutdown.heed(r)
-	r.balancer.At(now)
-	r.balancer.Behind(r.loop.Waits())
+	r.balancer.Advance(now)
+	r.balancer.ReportInputWait(r.loop.Waits())
 	r.reload()
 	r.takeInventory()
 	if r.shutdown.closing && r.handOver.successor != nil {
@@ -126,7 +126,7 @@
 	for _, err := range l.Bad {
 		r.log.Warn("line of the list left out", "error", err)
 	}
-	entries := make([]balance.Entry, 0, len(l.Members))
+	entries := make([]balance.HostEntry, 0, len(l.Members))
 	for _, m := range l.Members {
 		h := r.hosts.byID[m.ID]
 		if h == nil {
@@ -148,15 +148,15 @@
 		if listing.UpSince > h.UpSince { // connections to the process before are dead, whether they tell or not
 			h.hangUp(transport.Doubted)
 		}
-		entries = append(entries, balance.Entry{Host: &h.Host, Listing: listing})
+		entries = append(entries, balance.HostEntry{Host: &h.Host, Listing: listing})
 	}
-	r.balancer.List(entries, whole, saved)
+	r.balancer.HostsListed(entries, whole, saved)
 	r.hosts.forget(r.loop.Now())
 }
 
 // Lists tells whether any cache host is listed.
 func (r *Router) Lists() bool {
-	known, _ := r.balancer.Hosts()
+	known, _ := r.balancer.HostCounts()
 	return known > 0
 }
 
--- a/internal/routing/shutdown.go
+++ b/internal/routing/shutdown.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if now-r.shutdown.began > shutdownTake && r.handOver.successor == nil {
-		r.balancer.Close()
+		r.balancer.StopAdmitting()
 	}
 	if len(r.clients.all) == 0 && !r.loop.Unsent() {
 		if r.shutdown.empty == 0 {
--- a/internal/routing/upgrade.go
+++ b/internal/routing/upgrade.go
@@ -70,7 +70,7 @@
 		if h.Banned {
 			banned = append(banned, id)
 		}
-		if !h.Origin {
+		if !h.IsOrigin {
 			past = append(past, id)
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // Yield leaves the budgets for cold hosts to another process, or takes them back.
-func (r *Router) Yield(on bool) { r.balancer.Yield(on) }
+func (r *Router) Yield(on bool) { r.balancer.YieldColdHosts(on) }
 
 // Learned is what the balancer has learned.
 func (r *Router) Learned() balance.Learned { return r.balancer.Learned() }
@@ -101,7 +101,7 @@
 		r.inventory.pending.Store(r.inventory.current)
 	}
 	for _, part := range learned {
-		r.balancer.Resume(part)
+		r.balancer.Restore(part)
 	}
 	r.banAll(banned)
 }
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -54,14 +54,14 @@
 
 func (w *watch) fail(why transport.Reason) {
 	w.end(why)
-	w.router.balancer.ListFailed()
+	w.router.balancer.HostListFailed()
 }
 
 // overdue gives up a call that is not answered in time. A watch may hang on a connection that is dead without a
 // word: what is to be told counts as told soon after the wait, so it is asked for at once on a new one.
 func (w *watch) overdue() {
 	w.end(transport.WatchOverdue)
-	w.router.balancer.ListMoved()
+	w.router.balancer.HostListMoved()
 }
 
 // Received implements transport.Owner.
--- a/internal/scale/instance.go
+++ b/internal/scale/instance.go
@@ -56,12 +56,12 @@
 	i.simulation.figures.deadLettered++
 }
 
-func (i *instance) Wake(after float64) { i.simulation.timers.Set(i, i.simulation.now+after) }
+func (i *instance) SetTimer(after float64) { i.simulation.timers.Set(i, i.simulation.now+after) }
 
-func (i *instance) Watch() {}
+func (i *instance) SubscribeHostList() {}
 
-// HangUp closes the idle connections to a host.
-func (i *instance) HangUp(h *balance.Host) {
+// CloseIdleConns closes the idle connections to a host.
+func (i *instance) CloseIdleConns(h *balance.Host) {
 	if place, known := h.Ref.(int); known && i.idle != nil {
 		i.simulation.servers[place].connections -= int(i.idle[place])
 		i.idle[place] = 0
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -232,17 +232,17 @@
 	if list == nil || len(list.Bad) > 0 {
 		return fmt.Errorf("list: not read whole")
 	}
-	entries := make([]balance.Entry, 0, len(list.Members))
+	entries := make([]balance.HostEntry, 0, len(list.Members))
 	for _, member := range list.Members {
 		host := r.hosts[member.ID]
 		if host == nil {
 			host = &balance.Host{Name: member.ID}
 			r.hosts[member.ID] = host
 		}
-		entries = append(entries, balance.Entry{Host: host, Listing: balance.Listing{Zone: r.zones[member.Locality],
+		entries = append(entries, balance.HostEntry{Host: host, Listing: balance.Listing{Zone: r.zones[member.Locality],
 			Size: member.Size, UpSince: member.UpSince, Status: statuses[member.Phase]}})
 	}
-	r.balancer.List(entries, list.Complete, false)
+	r.balancer.HostsListed(entries, list.Complete, false)
 	return nil
 }
 
@@ -252,10 +252,10 @@
 // silentPort is the port of a balancer that has no requests.
 type silentPort struct{}
 
-func (silentPort) Push(*balance.Push, float64) {}
-func (silentPort) Cancel(*balance.Push)        {}
-func (silentPort) Nack(*balance.Op, float64)   {}
-func (silentPort) DeadLetter(*balance.Op)      {}
-func (silentPort) Wake(float64)                {}
-func (silentPort) Watch()                      {}
-func (silentPort) HangUp(*balance.Host)        {}
+func (silentPort) Push(*balance.Push, float64)  {}
+func (silentPort) Cancel(*balance.Push)         {}
+func (silentPort) Nack(*balance.Op, float64)    {}
+func (silentPort) DeadLetter(*balance.Op)       {}
+func (silentPort) SetTimer(float64)             {}
+func (silentPort) SubscribeHostList()           {}
+func (silentPort) CloseIdleConns(*balance.Host) {}
--- a/internal/scale/simulation.go
+++ b/internal/scale/simulation.go
@@ -67,7 +67,7 @@
 	}
 	for seed := range s.Balancers {
 		start, _, _ := parameters.Begin(uint64(seed + 1))
-		start.OnRequest = false
+		start.ListOnRequest = false
 		start.Zone = seed % TargetZones
 		i := &instance{simulation: x}
 		if s.Table > 0 {
@@ -75,12 +75,12 @@
 		}
 		i.balancer = balance.New(start, i, x.now)
 		for place := range x.servers {
-			i.hosts = append(i.hosts, &balance.Host{Ref: place, Name: hostName(place), Origin: place == s.Hosts})
+			i.hosts = append(i.hosts, &balance.Host{Ref: place, Name: hostName(place), IsOrigin: place == s.Hosts})
 		}
 		x.instances = append(x.instances, i)
 		x.list(i, nil)
 		if !s.Started {
-			i.balancer.Resume(x.learned())
+			i.balancer.Restore(x.learned())
 		}
 	}
 	return x, nil
@@ -91,7 +91,7 @@
 
 // list tells a balancer its hosts; restarted are those that have just started anew.
 func (x *simulation) list(i *instance, restarted []int) {
-	entries := make([]balance.Entry, 0, len(i.hosts))
+	entries := make([]balance.HostEntry, 0, len(i.hosts))
 	for place, host := range i.hosts {
 		listing := balance.Listing{Zone: place % TargetZones, Size: 1, UpSince: host.UpSince}
 		for _, r := range restarted {
@@ -99,10 +99,10 @@
 				listing.UpSince = x.now
 			}
 		}
-		entries = append(entries, balance.Entry{Host: host, Listing: listing})
+		entries = append(entries, balance.HostEntry{Host: host, Listing: listing})
 	}
-	i.balancer.At(x.now)
-	i.balancer.List(entries, true, false)
+	i.balancer.Advance(x.now)
+	i.balancer.HostsListed(entries, true, false)
 }
 
 // learned is what a balancer knows that has served its part for long: the gates open by one in a latency, which takes minutes
@@ -113,9 +113,9 @@
 	return balance.Learned{
 		Rate:   part / float64(x.scenario.Hosts),
 		Usual:  1,
-		Fleet:  balance.Gauge{Limit: gateRoom * math.Max(part*hostTakes, 1), Pain: hostTakes / (targetLatency / 1000), Lat: hostTakes, Dev: hostTakes / 4},
-		Origin: balance.Gauge{Limit: gateRoom * math.Max(fetches*originTakes, 1), Lat: originTakes, Dev: originTakes / 4},
-		Rows:   []balance.Row{{Target: targetLatency / 1000, Lat: hostTakes, Dev: hostTakes / 4}},
+		Fleet:  balance.LimiterState{Limit: gateRoom * math.Max(part*hostTakes, 1), Pain: hostTakes / (targetLatency / 1000), Lat: hostTakes, Dev: hostTakes / 4},
+		Origin: balance.LimiterState{Limit: gateRoom * math.Max(fetches*originTakes, 1), Lat: originTakes, Dev: originTakes / 4},
+		Rows:   []balance.CategoryState{{Target: targetLatency / 1000, Lat: hostTakes, Dev: hostTakes / 4}},
 	}
 }
 
@@ -170,8 +170,8 @@
 			x.finish(a)
 		case x.timers.Next():
 			i, _ := x.timers.Due(x.now)
-			i.balancer.At(x.now)
-			i.balancer.Woke()
+			i.balancer.Advance(x.now)
+			i.balancer.TimerFired()
 		default:
 			x.sample()
 			sample = x.now + sampleEvery
@@ -194,8 +194,8 @@
 		key = strconv.Itoa(x.random.IntN(ordinaryKeys))
 	}
 	x.figures.arrived++
-	i.balancer.At(x.now)
-	i.balancer.Arrive(&balance.Op{Ref: &request{arrived: x.now}, Category: i.balancer.Categories[0], Key: key, Due: x.now + timeToLive/1000})
+	i.balancer.Advance(x.now)
+	i.balancer.OpArrived(&balance.Op{Ref: &request{arrived: x.now}, Category: i.balancer.Categories[0], Key: key, Deadline: x.now + timeToLive/1000})
 }
 
 // send takes a push to its server and reckons its outcome, and when that comes.
@@ -205,7 +205,7 @@
 	p.Ref = a
 	x.figures.pushes++
 	if !x.connect(a) {
-		a.outcome = balance.Shut
+		a.outcome = balance.ConnLimited
 		x.attempts.Set(a, x.now+roundTrip)
 		return
 	}
@@ -213,7 +213,7 @@
 	done, taken := a.server.serve(x.now, x.random)
 	if !taken {
 		x.figures.refused++
-		a.outcome = balance.Refused
+		a.outcome = balance.Overloaded
 		x.attempts.Set(a, x.now+roundTrip)
 		return
 	}
@@ -228,7 +228,7 @@
 // answer draws what a server answers.
 func (x *simulation) answer(a *attempt) balance.Outcome {
 	if a.place != x.origin() && a.push.Op.Key != popularKey && x.random.Float64() < missPart {
-		return balance.Missed
+		return balance.CacheMiss
 	}
 	return balance.Served
 }
@@ -268,7 +268,7 @@
 func (x *simulation) disconnect(a *attempt) {
 	idle := a.instance.idle
 	switch {
-	case idle == nil || a.place == x.origin() || a.outcome == balance.Shut:
+	case idle == nil || a.place == x.origin() || a.outcome == balance.ConnLimited:
 	case a.outcome == balance.TimedOut || a.outcome == balance.Cancelled:
 		a.server.connections--
 	case idle[a.place] < math.MaxUint8:
@@ -277,15 +277,15 @@
 }
 
 func (x *simulation) tell(a *attempt) {
-	var report *balance.Report
+	var report *balance.LoadReport
 	if x.scenario.Reports && a.place != x.origin() {
-		report = &balance.Report{Busy: a.server.busy()}
+		report = &balance.LoadReport{Busy: a.server.busy()}
 	}
 	if r := a.push.Op.Ref.(*request); a.outcome == balance.Served && !r.ended {
 		r.ended = true
 		x.figures.served++
 		x.latencies.RecordValue(int64((x.now - r.arrived) * 1000))
 	}
-	a.instance.balancer.At(x.now)
-	a.instance.balancer.Ended(a.push, a.outcome, x.now-a.sent, a.outcome == balance.Served, report)
+	a.instance.balancer.Advance(x.now)
+	a.instance.balancer.PushEnded(a.push, a.outcome, x.now-a.sent, a.outcome == balance.Served, report)
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -110,20 +110,20 @@
 	case e.Headers != nil:
 		return s.at("HEADERS", e.Headers.I, func(d *simulatedBalancer) error {
 			if p := d.push(e.Headers); p != nil {
-				d.balancer.Streaming(p)
+				d.balancer.StreamingStarted(p)
 			}
 			return nil
 		})
 	case e.ClientLeft != nil: // it may name an op that has ended a moment ago
 		return s.at("CLIENT_LEFT", e.ClientLeft.I, func(d *simulatedBalancer) error {
 			if op := d.ops[e.ClientLeft.Corr]; op != nil {
-				d.balancer.Left(op)
+				d.balancer.ClientLeft(op)
 				d.forget(e.ClientLeft.Corr, op)
 			}
 			return nil
 		})
 	case e.Alarm != nil:
-		return s.at("ALARM", e.Alarm.I, func(d *simulatedBalancer) error { d.balancer.Woke(); return nil })
+		return s.at("ALARM", e.Alarm.I, func(d *simulatedBalancer) error { d.balancer.TimerFired(); return nil })
 	case e.DefineList != nil:
 		return s.define(e.DefineList)
 	case e.Announce != nil:
@@ -151,7 +151,7 @@
 	}
 	if d.looked < s.now {
 		d.looked = s.now
-		d.balancer.At(s.now)
+		d.balancer.Advance(s.now)
 	}
 	if err := call(d); err != nil {
 		return fmt.Errorf("%s.%w", name, err)
@@ -200,7 +200,7 @@
 	whole := e.Scope == "Complete" || e.Scope == "Persisted"
 	switch {
 	case e.Scope == "Error":
-		d.balancer.ListFailed()
+		d.balancer.HostListFailed()
 		return nil
 	case !whole && e.Scope != "Partial":
 		return fmt.Errorf("scope: unknown %q", e.Scope)
@@ -209,11 +209,11 @@
 	if !known {
 		return fmt.Errorf("slot: no list %d", e.Slot)
 	}
-	entries := make([]balance.Entry, 0, len(list))
+	entries := make([]balance.HostEntry, 0, len(list))
 	for _, x := range list {
 		h := d.hosts[*x.Host]
 		if h == nil {
-			h = &balance.Host{Name: strconv.FormatUint(uint64(*x.Host), 10), Origin: d.params.IsOrigin(x.Shape)}
+			h = &balance.Host{Name: strconv.FormatUint(uint64(*x.Host), 10), IsOrigin: d.params.IsOrigin(x.Shape)}
 			d.hosts[*x.Host], d.ids[h] = h, *x.Host
 		}
 		l := balance.Listing{Zone: slices.Index(d.params.Zones, x.Zone), Cell: x.Cell, Size: x.Nominal,
@@ -224,9 +224,9 @@
 		if x.UpSince != nil {
 			l.UpSince = float64(*x.UpSince) / 1000
 		}
-		entries = append(entries, balance.Entry{Host: h, Listing: l})
+		entries = append(entries, balance.HostEntry{Host: h, Listing: l})
 	}
-	d.balancer.List(entries, whole, e.Scope == "Persisted")
+	d.balancer.HostsListed(entries, whole, e.Scope == "Persisted")
 	return nil
 }
 
@@ -243,7 +243,7 @@
 	case e.DropAt == nil:
 		return errors.New("dropDeadUs: missing")
 	}
-	op := &balance.Op{Ref: e.Corr, Category: category, Due: float64(*e.DropAt) / 1000, Write: e.Update}
+	op := &balance.Op{Ref: e.Corr, Category: category, Deadline: float64(*e.DropAt) / 1000, IsWrite: e.Update}
 	if e.Key != nil {
 		op.Key = *e.Key
 	}
@@ -253,7 +253,7 @@
 		}
 	}
 	d.ops[e.Corr] = op
-	d.balancer.Arrive(op)
+	d.balancer.OpArrived(op)
 	return nil
 }
 
@@ -271,20 +271,20 @@
 	}
 	outcome, known := outcomes[*e.Code]
 	if !known {
-		outcome = balance.Unknown
+		outcome = balance.UnknownOutcome
 	}
-	d.balancer.Ended(p, outcome, float64(e.Spent)/1000, e.Last, d.report(e.Stats))
+	d.balancer.PushEnded(p, outcome, float64(e.Spent)/1000, e.Last, d.report(e.Stats))
 	d.forget(e.Corr, op)
 	return nil
 }
 
 // report reads a row of a host's load. One that is not as the start has it costs nothing but itself.
-func (d *simulatedBalancer) report(row json.RawMessage) *balance.Report {
+func (d *simulatedBalancer) report(row json.RawMessage) *balance.LoadReport {
 	var values []*float64
 	if len(row) == 0 || json.Unmarshal(row, &values) != nil || len(values) != len(d.params.Load.Fields) {
 		return nil
 	}
-	var r *balance.Report
+	var r *balance.LoadReport
 	for k, v := range values {
 		if v != nil {
 			r = d.params.Report(r, d.params.Load.Fields[k], *v)
@@ -303,7 +303,7 @@
 
 // forget drops an op of which nothing more can be heard.
 func (d *simulatedBalancer) forget(corr string, op *balance.Op) {
-	if op.Over() {
+	if op.IsDone() {
 		delete(d.ops, corr)
 		delete(d.pushes, op)
 	}
@@ -332,11 +332,13 @@
 	d.forget(op.Ref.(string), op)
 }
 
-func (d *simulatedBalancer) Wake(ms float64) { d.act(action{After: &after{I: d.i, From: us(ms)}}) }
+func (d *simulatedBalancer) SetTimer(ms float64) { d.act(action{After: &after{I: d.i, From: us(ms)}}) }
 
-func (d *simulatedBalancer) Watch() { d.act(action{Watch: &watch{d.i, true}}) }
+func (d *simulatedBalancer) SubscribeHostList() { d.act(action{Watch: &watch{d.i, true}}) }
 
-func (d *simulatedBalancer) HangUp(h *balance.Host) { d.act(action{HangUp: &hangUp{d.i, d.ids[h]}}) }
+func (d *simulatedBalancer) CloseIdleConns(h *balance.Host) {
+	d.act(action{HangUp: &hangUp{d.i, d.ids[h]}})
+}
 
 // us turns milliseconds into the wire's whole microseconds.
 func us(ms float64) int64 { return int64(math.Round(ms * 1000)) }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -93,9 +93,9 @@
 }
 
 // outcomes by completion code.
-var outcomes = map[int]balance.Outcome{1: balance.Served, 2: balance.Failed, 3: balance.Refused,
-	4: balance.TimedOut, 5: balance.NoConn, 6: balance.Broken, 7: balance.Cancelled, 8: balance.NotSent,
-	9: balance.Missed}
+var outcomes = map[int]balance.Outcome{1: balance.Served, 2: balance.Failed, 3: balance.Overloaded,
+	4: balance.TimedOut, 5: balance.ConnectFailed, 6: balance.ConnBroken, 7: balance.Cancelled, 8: balance.NotSent,
+	9: balance.CacheMiss}
 
 // action has one of its fields set.
 type action struct {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -130,9 +130,9 @@
 func stateOf(startFile *params.StartFile, hosts int, suffix string) fleetState {
 	s := fleetState{list: &protocol.List{Revision: 7, Complete: true}}
 	s.learned = balance.Learned{Rate: 0.123456789, Usual: 1.23456789,
-		Fleet: balance.Gauge{Limit: 1234.56789, Pain: 0.123456789, Lat: 12.3456789, Dev: 1.23456789}, Hosts: map[string]balance.Record{}}
+		Fleet: balance.LimiterState{Limit: 1234.56789, Pain: 0.123456789, Lat: 12.3456789, Dev: 1.23456789}, Hosts: map[string]balance.HostState{}}
 	for i, c := range startFile.Params.Categories {
-		s.learned.Rows = append(s.learned.Rows, balance.Row{Target: c.Target / 1000, Lat: 10 + float64(i)/7, Dev: 1 + float64(i)/7})
+		s.learned.Rows = append(s.learned.Rows, balance.CategoryState{Target: c.Target / 1000, Lat: 10 + float64(i)/7, Dev: 1 + float64(i)/7})
 	}
 	for i := range hosts {
 		id := fmt.Sprintf("cache-%05d%s", i, suffix)
@@ -140,7 +140,7 @@
 		s.list.Members = append(s.list.Members, protocol.Listed{ID: id, Size: 1, Phase: protocol.InService, UpSince: upSince,
 			Address:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 11211),
 			Locality: "zone" + suffix, Flavor: "box" + suffix})
-		s.learned.Hosts[id] = balance.Record{UpSince: upSince, Slow: 1.23456789, Fail: 0.123456789, Rest: 1234.56789,
+		s.learned.Hosts[id] = balance.HostState{UpSince: upSince, Slow: 1.23456789, Fail: 0.123456789, Rest: 1234.56789,
 			RestUntil: farFuture + float64(i)/7, Budget: 3, Budgeted: longAgo + float64(i)/7}
 		if i%2 == 1 {
 			s.banned = append(s.banned, id)
