--- a/cmd/larchthread/main.go
+++ b/cmd/larchthread/main.go
@@ -108,8 +108,8 @@
 	watcher, hosts, err := inventory.Begin(mine.Inventory)
 	switch {
 	case err == nil:
-		router.TakeInventory(hosts)
-	case !router.Lists():
+		router.SetInventory(hosts)
+	case !router.HasListedHosts():
 		return err
 	default:
 		log.Error("inventory kept as it was", "error", err)
@@ -121,7 +121,7 @@
 			case err != nil:
 				log.Error("inventory kept as it was", "error", err)
 			case hosts != nil:
-				router.TakeInventory(hosts)
+				router.SetInventory(hosts)
 			}
 		}
 	}()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -44,9 +44,9 @@
 
 func (s *server) accept(conn *transport.Conn) {
 	c := &caller{server: s, conn: conn}
-	conn.Owner = c
+	conn.Handler = c
 	c.limit.Fire = func() { c.answer(http.StatusRequestTimeout, "the call did not come") }
-	s.loop.Set(&c.limit, callMost)
+	s.loop.SetTimer(&c.limit, callMost)
 }
 
 // Received implements transport.Owner.
@@ -56,7 +56,7 @@
 	case fault != nil:
 		c.answer(fault.Status, fault.Text)
 	case call != nil:
-		conn.Pause(true) // what comes behind the call is nobody's
+		conn.SetPaused(true) // what comes behind the call is nobody's
 		c.server.serve(call, c.answer)
 	}
 }
@@ -64,7 +64,7 @@
 // Ended implements transport.Owner. A caller may close its side once it has asked.
 func (c *caller) Ended(_ *transport.Conn, why transport.Reason) {
 	c.ended = true
-	c.server.loop.Stop(&c.limit)
+	c.server.loop.StopTimer(&c.limit)
 }
 
 // answer answers the call and ends the connection.
@@ -74,7 +74,7 @@
 	}
 	c.Ended(c.conn, "")
 	protocol.WriteCallAnswer(&c.conn.Out, status, strings.TrimSuffix(text, "\n")+"\n")
-	c.conn.HalfClose(transport.LastAnswer)
+	c.conn.HalfClose(transport.CloseRequested)
 }
 
 // methods are the calls there are.
@@ -94,7 +94,7 @@
 	}
 	switch call.Path {
 	case "/status":
-		if err := s.router.Serving(); err != nil {
+		if err := s.router.CheckReady(); err != nil {
 			answer(http.StatusServiceUnavailable, err.Error())
 			return
 		}
@@ -119,7 +119,7 @@
 			answer(http.StatusOK, "done")
 		case routing.ErrNeverListed:
 			answer(http.StatusNotFound, err.Error())
-		case routing.ErrShut:
+		case routing.ErrNotListening:
 			answer(http.StatusServiceUnavailable, err.Error())
 		default:
 			answer(http.StatusConflict, err.Error())
@@ -130,12 +130,12 @@
 // metrics writes the figures, a line each.
 func (s *server) metrics() string {
 	var b strings.Builder
-	f := s.router.Figures()
+	f := s.router.Stats()
 	for _, c := range f.Categories {
 		fmt.Fprintf(&b, "edge_relay.passed.%s:%d|c\nedge_relay.dropped.%s:%d|c\nedge_relay.bad_gateway.%s:%d|c\n",
 			c.Name, c.Acked, c.Name, c.Nacked, c.Name, c.DeadLettered)
 	}
-	fmt.Fprintf(&b, "edge_relay.upstream_tries:%d|c\nedge_relay.in_progress:%d|g\n", f.Pushes, f.Open)
+	fmt.Fprintf(&b, "edge_relay.upstream_tries:%d|c\nedge_relay.in_progress:%d|g\n", f.Pushes, f.OpenOps)
 	fmt.Fprintf(&b, "edge_relay.known_cache_hosts:%d|g\nedge_relay.skipped_cache_hosts:%d|g\n", f.Hosts, f.Avoided)
 	return b.String()
 }
--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -115,7 +115,7 @@
 	if r.size > 0 || in.Len() < 2 {
 		return false, nil
 	}
-	end := in.Cut(2)
+	end := in.SplitFront(2)
 	defer end.Free()
 	r.value = nil
 	if string(end.Bytes()) != "\r\n" {
@@ -128,8 +128,8 @@
 // move moves up to n bytes from one chain to the other.
 func move(in, out *transport.Chain, n int) int {
 	n = min(n, in.Len())
-	piece := in.Cut(n)
-	out.Move(&piece)
+	piece := in.SplitFront(n)
+	out.MoveFrom(&piece)
 	return n
 }
 
@@ -200,7 +200,7 @@
 	out.WriteString(" O")
 	out.WriteString(c.ID)
 	out.WriteString("\r\n")
-	out.Move(&a.Value)
+	out.MoveFrom(&a.Value)
 	out.WriteString("\r\n")
 }
 
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -85,7 +85,7 @@
 // Skip takes a whole command that asks for a value off the front, unread but for its category. It returns false, and takes
 // nothing, where none stands there or its category is not one of those.
 func Skip[T any](r *Commands, in *transport.Chain, categories map[string]T) (category T, skipped bool) {
-	line := in.Head()
+	line := in.PeekLine()
 	rest, is := bytes.CutPrefix(line, []byte("mg "))
 	if !is || r.set != nil {
 		return category, false
@@ -111,7 +111,7 @@
 
 // takeLine takes a line off the front, once it is whole.
 func takeLine(in *transport.Chain) (line string, whole bool, err error) {
-	line, whole = in.Line()
+	line, whole = in.ReadLine()
 	if len(line) > lineMost || !whole && in.Len() > lineMost {
 		return "", false, fmt.Errorf("a line of over %d bytes", lineMost)
 	}
@@ -123,8 +123,8 @@
 	if in.Len() < size+2 {
 		return value, false, nil
 	}
-	value = in.Cut(size)
-	end := in.Cut(2)
+	value = in.SplitFront(size)
+	end := in.SplitFront(2)
 	defer end.Free()
 	if string(end.Bytes()) != "\r\n" {
 		value.Free()
@@ -297,7 +297,7 @@
 		return false
 	}
 	n := min(WholeMost, s.value.Len()-s.at)
-	out.CopyPart(s.value, s.at, n)
+	out.AppendRange(s.value, s.at, n)
 	if s.at += n; s.at == s.value.Len() {
 		out.WriteString(s.end)
 		s.value = nil
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -57,8 +57,8 @@
 		case sizedBody, chunkBody:
 			n := min(r.size, in.Len())
 			if n > 0 {
-				piece := in.Cut(n)
-				r.answer.Body.Move(&piece)
+				piece := in.SplitFront(n)
+				r.answer.Body.MoveFrom(&piece)
 				r.size -= n
 			}
 			if r.size > 0 {
@@ -70,14 +70,14 @@
 			if in.Len() < 2 {
 				return nil, nil
 			}
-			if line, whole := in.Line(); !whole || line != "" {
+			if line, whole := in.ReadLine(); !whole || line != "" {
 				return nil, fmt.Errorf("no line end behind a chunk")
 			}
 			r.part = chunkSize
 		case flowing:
 			return nil, errors.New("more than the body")
 		case bodyToEnd:
-			r.answer.Body.Move(in)
+			r.answer.Body.MoveFrom(in)
 			if r.answer.Body.Len() > r.Most {
 				return nil, fmt.Errorf("a body of over %d bytes", r.Most)
 			}
@@ -127,7 +127,7 @@
 			return nil, fmt.Errorf("status line %q", clip(line))
 		}
 		r.part, r.lines, r.size, r.chunked, r.closes = head, 0, -1, false, false
-		r.answer = &Response{Status: status, Close: version == "HTTP/1.0", Body: in.Sibling()}
+		r.answer = &Response{Status: status, Close: version == "HTTP/1.0", Body: in.NewSibling()}
 	case chunkSize:
 		hex, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(hex), 16, 31)
--- a/internal/protocol/many_test.go
+++ b/internal/protocol/many_test.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			in := loop.Pool.Chain()
+			in := loop.Pool.NewChain()
 			var lists []*List
 			reader := NewLists()
 			for rest := form(text) + form(change); rest != ""; {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -67,7 +67,7 @@
 
 // read feeds a stream in pieces that end where cuts says, and returns what was read of it.
 func read(pool *transport.Pool, n next, stream []byte, cuts func(i int) bool) string {
-	in, said := pool.Chain(), []string{}
+	in, said := pool.NewChain(), []string{}
 	defer n(nil)
 	defer in.Free()
 	for i := range stream {
@@ -211,7 +211,7 @@
 // A command goes on as it came but for the time that the balancer will wait, to hosts and to the origin alike.
 func ExampleWriteCommand() {
 	var pool transport.Pool
-	in, out := pool.Chain(), pool.Chain()
+	in, out := pool.NewChain(), pool.NewChain()
 	in.WriteString("ms k/2 5 O9 Pc=put,d=480,k=5c,size=5\r\nhello\r\nmg a%b v O8 Pc=read,d=99\r\n")
 	var r Commands
 	for range 2 {
@@ -222,7 +222,7 @@
 	}
 	fmt.Print(strings.ReplaceAll(string(out.Bytes()), "\r", ""))
 	out.Free()
-	fmt.Println(pool.Held(), "bytes held")
+	fmt.Println(pool.UsedBytes(), "bytes held")
 	// Output:
 	// ms k/2 5 O9 Pc=put,d=70,k=5c,size=5
 	// hello
@@ -289,8 +289,8 @@
 		var pool transport.Pool
 		one := read(&pool, n(), stream, whole)
 		other := read(&pool, n(), stream, func(i int) bool { return mask>>(i%64)&1 == 1 })
-		if pool.Held() != 0 {
-			t.Errorf("%d bytes held at the end", pool.Held())
+		if pool.UsedBytes() != 0 {
+			t.Errorf("%d bytes held at the end", pool.UsedBytes())
 		}
 		// An error may be seen before the bytes behind it have come, and bytes left may wait inside a reader.
 		cut := func(s string) string { return s[:max(0, strings.LastIndex(s, "\n"))] }
@@ -310,7 +310,7 @@
 	known := map[string]int{"page": 1, "feed": 2}
 	for _, line := range []string{"mg k v O1 Pc=page,d=5\r\n", "mg k v O1 Pd=5,c=feed\n", "mg Pc=page v Pc=feed,d=5 O1\r\n", "mg k v O1 Pc=other,d=5\r\n",
 		"mg k v O1 Pd=5\r\n", "mg k v O1 Pc=page,d=5", "ms k 1 O1 Pc=page,d=5\r\nx\r\n", "mn\r\n", ""} {
-		in := pool.Chain()
+		in := pool.NewChain()
 		in.WriteString(line)
 		category, skipped := Skip(&Commands{}, &in, known)
 		fmt.Println(category, skipped, in.Len())
@@ -333,7 +333,7 @@
 	f.Add("mg Pc=page v O1 Pc=feed,d=5\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		var pool transport.Pool
-		unread, read := pool.Chain(), pool.Chain()
+		unread, read := pool.NewChain(), pool.NewChain()
 		unread.WriteString(text)
 		read.WriteString(text)
 		category, skipped := Skip(&Commands{}, &unread, map[string]string{"page": "page", "feed": "feed"})
@@ -364,13 +364,13 @@
 	var pool transport.Pool
 	value := bytes.Repeat([]byte("0123456789abcdef"), WholeMost/16)
 	stream := append([]byte("ms k 65536 O1 Pc=put,d=5\r\n"), value...)
-	in := pool.Chain()
+	in := pool.NewChain()
 	in.Write(append(stream, "\r\n"...))
 	var r Commands
 	c, err := r.Next(&in)
 	fmt.Println(bytes.Equal(c.Value.Bytes(), value), err, in.Len())
 	c.Value.Free()
-	fmt.Println(pool.Held(), "bytes held")
+	fmt.Println(pool.UsedBytes(), "bytes held")
 	// Output:
 	// true <nil> 0
 	// 0 bytes held
@@ -379,7 +379,7 @@
 // readCall reads a call that comes in pieces.
 func readCall(pieces ...string) string {
 	var pool transport.Pool
-	in, r := pool.Chain(), Calls{}
+	in, r := pool.NewChain(), Calls{}
 	for _, p := range pieces {
 		in.WriteString(p)
 		switch call, fault := r.Next(&in); {
--- a/internal/routing/ban.go
+++ b/internal/routing/ban.go
@@ -10,8 +10,8 @@
 // ErrNeverListed is the error of a ban on an id that was never listed here.
 var ErrNeverListed = errors.New("no cache host was ever listed under that id")
 
-// ErrShut is the error of what has to wait until it listens.
-var ErrShut = errors.New("not listening yet")
+// ErrNotListening is the error of what has to wait until it listens.
+var ErrNotListening = errors.New("not listening yet")
 
 var errOrigin = errors.New("the origin is no cache host: without it nothing could be written or fetched")
 
@@ -19,25 +19,25 @@
 // it, whatever lists say, by this process or the other of an upgrade.
 func (r *Router) Ban(id string, out bool, done func(error)) {
 	if r.clients.listener == nil { // the process before is not bound yet by what this one is told
-		done(ErrShut)
+		done(ErrNotListening)
 		return
 	}
-	err := r.TakeBan(id, out)
+	err := r.ApplyBan(id, out)
 	if r.handOver.partner == nil || err == errOrigin {
 		done(err)
 		return
 	}
-	r.handOver.partner.TellBan(id, out, func(known bool) {
+	r.handOver.partner.ForwardBan(id, out, func(known bool) {
 		if known && err == ErrNeverListed {
 			r.hosts.past.add(id)
-			err = r.TakeBan(id, out)
+			err = r.ApplyBan(id, out)
 		}
 		done(err)
 	})
 }
 
-// TakeBan bans a host here, or lifts its ban.
-func (r *Router) TakeBan(id string, out bool) error {
+// ApplyBan bans a host here, or lifts its ban.
+func (r *Router) ApplyBan(id string, out bool) error {
 	h, err := r.bannable(id)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 		return nil
 	}
 	h.silent = false
-	h.hangUp(transport.Unlisted)
+	h.hangUp(transport.HostGone)
 	return nil
 }
 
--- a/internal/routing/client.go
+++ b/internal/routing/client.go
@@ -61,7 +61,7 @@
 func (o *op) pass() {
 	out := &o.client.conn.Out
 	out.Write(o.short)
-	out.Move(&o.reply)
+	out.MoveFrom(&o.reply)
 	out.Write(o.behind)
 }
 
@@ -93,9 +93,9 @@
 // accept takes in a client's connection.
 func (r *Router) accept(conn *transport.Conn) {
 	c := &client{router: r, conn: conn}
-	conn.Owner, conn.Use = c, c.use
+	conn.Handler, conn.EvictionClass = c, c.use
 	c.patience.Fire = c.overdue
-	r.loop.Set(&c.patience, restFor)
+	r.loop.SetTimer(&c.patience, restFor)
 	r.clients.add(c)
 }
 
@@ -105,7 +105,7 @@
 }
 
 // use tells what the connection is good for, where sockets run short.
-func (c *client) use() transport.Use {
+func (c *client) use() transport.EvictionClass {
 	switch {
 	case !c.proven && len(c.line) == 0:
 		return transport.Unproven
@@ -125,43 +125,43 @@
 	c.router.clients.atRest.remove(c)
 	switch {
 	case c.left || !c.proven && !c.commands.Begun() || c.ending != "":
-	case c.conn.Paused() || !c.half() && len(c.line) > 0: // it is for this side to go on
+	case c.conn.IsPaused() || !c.half() && len(c.line) > 0: // it is for this side to go on
 		c.waits = false
-		c.router.loop.Stop(&c.patience)
+		c.router.loop.StopTimer(&c.patience)
 	case !c.half():
 		c.waits = false
-		c.router.loop.Set(&c.patience, idleFor)
+		c.router.loop.SetTimer(&c.patience, idleFor)
 		c.router.clients.rest(c)
 	case took || !c.waits || c.commands.Begun(): // a long value takes its time, as long as it comes
 		c.waits = true
-		c.router.loop.Set(&c.patience, restFor)
+		c.router.loop.SetTimer(&c.patience, restFor)
 	}
 }
 
 // overdue ends a connection that has stood for too long, with an error where part of a command has come.
 func (c *client) overdue() {
 	switch {
-	case c.conn.Unheard(): // what has just come may be the rest, or a first op
-		c.router.loop.Set(&c.patience, heardFor)
+	case c.conn.HasPendingInput(): // what has just come may be the rest, or a first op
+		c.router.loop.SetTimer(&c.patience, heardFor)
 	case c.half():
-		c.ending = transport.HalfSent
-		c.conn.Pause(true)
+		c.ending = transport.IncompleteCommand
+		c.conn.SetPaused(true)
 		c.take(&protocol.Command{Bad: protocol.ErrHalf}, true, 0)
 	case c.proven:
-		c.finish(transport.IdleTooLong)
+		c.finish(transport.IdleTimeout)
 	default:
-		c.finish(transport.Silent)
+		c.finish(transport.NoCommand)
 	}
 }
 
 // idle tells whether the connection may be closed to make room: nothing is owed on it, or nothing moves.
 func (c *client) idle() bool {
-	return c.between() && c.conn.Out.Len() == 0 || len(c.line) == 0 && c.router.loop.Now()-c.conn.Used > stuckFor
+	return c.between() && c.conn.Out.Len() == 0 || len(c.line) == 0 && c.router.loop.Now()-c.conn.LastUsed > stuckFor
 }
 
 // Received implements transport.Owner.
 func (c *client) Received(conn *transport.Conn) {
-	conn.Used = c.router.loop.Now()
+	conn.LastUsed = c.router.loop.Now()
 	if f := c.flowing(); f != nil {
 		f.advance()
 		if c.left {
@@ -182,19 +182,19 @@
 			command = &protocol.Command{Bad: err}
 		}
 		if command == nil {
-			conn.Pause(!c.reserve())
+			conn.SetPaused(!c.reserve())
 			c.attend(took)
 			return
 		}
 		took = true
 		c.take(command, room, backoff)
-		if c.router.loop.Spent() && conn.In.Len() > 0 && c.ending == "" {
-			c.router.loop.Rest(conn)
+		if c.router.loop.ClientTimeExhausted() && conn.In.Len() > 0 && c.ending == "" {
+			c.router.loop.DeferReceive(conn)
 			c.attend(took)
 			return
 		}
 	}
-	conn.Pause(true)
+	conn.SetPaused(true)
 	c.attend(took)
 }
 
@@ -223,7 +223,7 @@
 // take serves one command, where there is room for it.
 func (c *client) take(command *protocol.Command, room bool, backoff float64) {
 	r := c.router
-	o := &op{client: c, command: command, reply: r.loop.Pool.Chain(), bulk: c.bulk}
+	o := &op{client: c, command: command, reply: r.loop.Pool.NewChain(), bulk: c.bulk}
 	c.bulk = 0
 	c.line = append(c.line, o)
 	switch category := r.configuration.categories[command.Category]; {
@@ -241,7 +241,7 @@
 	default:
 		r.clients.ops[command.ID], o.pushes = o, o.first[:0]
 		c.proven = true
-		o.deadline = c.conn.Arrived + command.TTL
+		o.deadline = c.conn.ArrivedAt + command.TTL
 		o.Op = balance.Op{Ref: o, Category: category, Key: command.Key, Deadline: o.deadline,
 			IsWrite: command.Verb == protocol.Set}
 		r.balancer.OpArrived(&o.Op)
@@ -272,7 +272,7 @@
 	}
 	c.line = slices.Delete(c.line, 0, n)
 	if c.flowing() != nil { // its turn has come
-		r.loop.Later(c.conn)
+		r.loop.ScheduleReceive(c.conn)
 	}
 	if n > 0 {
 		c.conn.Flush()
@@ -281,9 +281,9 @@
 			c.finish(c.ending)
 		case r.shutdown.closing && r.handOver.successor == nil && c.between():
 			// A client without pauses would go on until the end is forced.
-			c.finish(transport.Stopping)
+			c.finish(transport.ShuttingDown)
 		case full: // commands that have come meanwhile are read on
-			r.loop.Later(c.conn)
+			r.loop.ScheduleReceive(c.conn)
 		default:
 			c.attend(false)
 		}
@@ -303,7 +303,7 @@
 func (c *client) leave() {
 	r := c.router
 	c.left = true
-	r.loop.Stop(&c.patience)
+	r.loop.StopTimer(&c.patience)
 	r.clients.remove(c)
 	line := c.line
 	c.line = nil
@@ -313,7 +313,7 @@
 			r.balancer.ClientLeft(&o.Op)
 		}
 		if o.flow != nil && o.flow.link.push.state == flowing { // where calling off is not allowed it goes nowhere either
-			o.flow.link.push.callOff(transport.CalledOff)
+			o.flow.link.push.callOff(transport.Cancelled)
 		}
 		o.reply.Free()
 		o.command.Value.Free()
--- a/internal/routing/client_side.go
+++ b/internal/routing/client_side.go
@@ -42,8 +42,8 @@
 		return
 	}
 	for e := s.atRest.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*client); !c.conn.Unheard() { // else an op has come on it
-			c.finish(transport.Surplus)
+		if c := e.Value.(*client); !c.conn.HasPendingInput() { // else an op has come on it
+			c.finish(transport.SurplusIdle)
 			return
 		}
 	}
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -20,13 +20,13 @@
 // begin lets the value of an answer flow.
 func (l *link) begin(a *protocol.Answer) {
 	p := l.push
-	f := &flow{link: l, op: p.op, answer: a, in: l.conn.In.Sibling()}
+	f := &flow{link: l, op: p.op, answer: a, in: l.conn.In.NewSibling()}
 	p.took = l.router.loop.Now() - p.began
 	p.move(flowing)
 	l.flow, p.op.flow = f, f
 	f.stuck.Fire = f.stopped
 	l.router.balancer.StreamingStarted(p.Push)
-	f.op.client.conn.Wrote = f.op.client.wrote
+	f.op.client.conn.AfterWrite = f.op.client.wrote
 	f.advance()
 }
 
@@ -64,8 +64,8 @@
 			return
 		}
 	}
-	l.router.loop.Set(&f.stuck, stuckFor)
-	l.conn.Pause(l.conn.In.Len() > 0)
+	l.router.loop.SetTimer(&f.stuck, stuckFor)
+	l.conn.SetPaused(l.conn.In.Len() > 0)
 }
 
 // whole ends a flow with its last byte.
@@ -75,9 +75,9 @@
 	f.end()
 	l.push = nil
 	if f.closed {
-		l.close(transport.LastAnswer)
+		l.close(transport.CloseRequested)
 	} else {
-		l.conn.Pause(false)
+		l.conn.SetPaused(false)
 		l.spare(f.answer.Close)
 	}
 	l.router.counters.byCategory[op.Category].Acked++
@@ -88,7 +88,7 @@
 // hostEnded takes word that the host's side of the connection is over. What it sent before still goes out, in the client's
 // pace.
 func (f *flow) hostEnded(why transport.Reason) {
-	f.in.Move(&f.link.conn.In)
+	f.in.MoveFrom(&f.link.conn.In)
 	f.closed = true
 	f.advance()
 }
@@ -99,7 +99,7 @@
 		f.op.client.cut(transport.SlowReader)
 		return
 	}
-	f.broke(transport.PushLate, balance.TimedOut)
+	f.broke(transport.PushTimeout, balance.TimedOut)
 }
 
 // broke ends a flow that will not be whole. Its client has to be able to tell: its connection ends in the middle.
@@ -110,12 +110,12 @@
 	l.router.counters.byCategory[f.op.Category].DeadLettered++
 	f.op.move(answered)
 	l.router.ended(p, o)
-	c.cut(transport.HalfAnswer)
+	c.cut(transport.IncompleteAnswer)
 }
 
 // end takes the flow out of the books.
 func (f *flow) end() {
-	f.link.router.loop.Stop(&f.stuck)
+	f.link.router.loop.StopTimer(&f.stuck)
 	f.in.Free()
 	f.link.flow, f.op.flow = nil, nil
 }
@@ -131,7 +131,7 @@
 // wrote goes on with a flow once its client has taken half of what waits for it.
 func (c *client) wrote() {
 	if c.flowing() != nil && c.conn.Out.Len() <= flowMost/2 {
-		c.router.loop.Later(c.conn)
+		c.router.loop.ScheduleReceive(c.conn)
 	}
 }
 
--- a/internal/routing/inventory.go
+++ b/internal/routing/inventory.go
@@ -15,10 +15,10 @@
 	current *[]inventory.Host                // in force
 }
 
-// TakeInventory puts a list of hosts in force in place of discovery's. It may be called from any goroutine.
-func (r *Router) TakeInventory(hosts []inventory.Host) {
+// SetInventory puts a list of hosts in force in place of discovery's. It may be called from any goroutine.
+func (r *Router) SetInventory(hosts []inventory.Host) {
 	r.inventory.pending.Store(&hosts)
-	r.loop.Ring()
+	r.loop.Wake()
 }
 
 // takeInventory hands the list on, as one of discovery's: hosts that are not on it drain, and new ones join. The file does not
@@ -30,7 +30,7 @@
 	}
 	r.inventory.current = hosts
 	l := &protocol.List{Revision: r.watch.revision + 1, Complete: true}
-	first := !r.Lists()
+	first := !r.HasListedHosts()
 	for _, h := range *hosts {
 		m := protocol.Listed{ID: h.ID, Address: h.Address, Locality: h.Zone, Flavor: h.Kind, Phase: protocol.InService,
 			Size: h.Weight}
--- a/internal/routing/inventory_test.go
+++ b/internal/routing/inventory_test.go
@@ -35,7 +35,7 @@
 func Example_inventoryCold() {
 	r := handRouter()
 	put := func(hosts ...inventory.Host) {
-		r.TakeInventory(hosts)
+		r.SetInventory(hosts)
 		r.takeInventory()
 		var cold []string
 		for _, h := range hosts {
@@ -62,12 +62,12 @@
 	// 3 listed; cold: [cache0 cache1 cache2]
 }
 
-func BenchmarkTakeInventory(b *testing.B) {
+func BenchmarkSetInventory(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r, hosts := handRouter(), fleetOf(n+1)
 			for i := 0; b.Loop(); i++ {
-				r.TakeInventory(hosts[:n+i%2])
+				r.SetInventory(hosts[:n+i%2])
 				r.takeInventory()
 			}
 		})
--- a/internal/routing/link.go
+++ b/internal/routing/link.go
@@ -33,7 +33,7 @@
 // be told, as those of a careful push can't, the connection has to have rested.
 func (h *host) link(r *Router, careful bool) *link {
 	if h.silent {
-		h.hangUp(transport.Doubted)
+		h.hangUp(transport.HostSilent)
 	}
 	least := 0.0
 	if careful || h.IsOrigin {
@@ -48,15 +48,15 @@
 		kind, l.reader = "origin", protocol.NewFetched()
 	}
 	l.conn = r.loop.Dial(kind, h.address, l)
-	l.conn.Prepare, l.conn.Wrote = l.prepare, l.wrote
-	l.conn.Use = func() transport.Use {
+	l.conn.BeforeWrite, l.conn.AfterWrite = l.prepare, l.wrote
+	l.conn.EvictionClass = func() transport.EvictionClass {
 		if l.push != nil && l.push.op.state == open { // a second push whose op has its answer makes room
 			return transport.Needed
 		}
 		return transport.Idle
 	}
 	l.coming.Fire = l.late
-	r.loop.Set(&l.coming, r.hosts.connectTimeout)
+	r.loop.SetTimer(&l.coming, r.hosts.connectTimeout)
 	return l
 }
 
@@ -64,19 +64,19 @@
 func (h *host) rested(r *Router, least float64) *link {
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		l := h.idle[i]
-		rest := r.loop.Now() - l.conn.Used
+		rest := r.loop.Now() - l.conn.LastUsed
 		if rest <= least { // none: answered in this round, and more, or its end, may be right behind the answer
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
 		switch {
 		case rest >= r.hosts.idleTimeout*idleShare:
-			l.conn.Close(transport.IdleTooLong)
-		case l.conn.Quiet():
+			l.conn.Close(transport.IdleTimeout)
+		case l.conn.IsQuiet():
 			l.early = rest <= secondFor
 			return l
 		default:
-			l.conn.Close(transport.Unquiet)
+			l.conn.Close(transport.UnexpectedInput)
 		}
 	}
 	return nil
@@ -95,9 +95,9 @@
 	if p == nil || p.state != waiting {
 		return
 	}
-	remaining, sending := p.split(l.router.loop.Clock())
+	remaining, sending := p.split(l.router.loop.ReadClock())
 	if remaining < leastLeft {
-		p.callOff(transport.PushLate)
+		p.callOff(transport.PushTimeout)
 		return
 	}
 	p.move(writing)
@@ -108,7 +108,7 @@
 		l.rest = protocol.WriteCommand(&l.conn.Out, p.op.command, int(remaining))
 	}
 	if p.op.command.Verb == protocol.Set {
-		l.router.loop.Set(&p.before, min(sending, p.SendBy-l.router.loop.Now()))
+		l.router.loop.SetTimer(&p.before, min(sending, p.SendBy-l.router.loop.Now()))
 	}
 }
 
@@ -121,22 +121,22 @@
 	switch {
 	case p == nil:
 	case !l.rest.Over() && p.op.state != open: // the value is no more; half a command is of no use to the host
-		p.callOff(transport.CalledOff)
+		p.callOff(transport.Cancelled)
 	case l.conn.Out.Len() == 0 && l.rest.More(&l.conn.Out):
 	case !p.whole && p.sent():
 		p.whole = true
-		l.router.loop.Stop(&p.before)
+		l.router.loop.StopTimer(&p.before)
 		l.router.counters.pushes++
 	}
 }
 
 // late gives up a connection that does not come up.
 func (l *link) late() {
-	if l.conn.Up() || l.push == nil {
+	if l.conn.IsOpen() || l.push == nil {
 		return
 	}
 	l.host.silent = true
-	l.fail(transport.ConnectLate, balance.ConnectFailed)
+	l.fail(transport.ConnectTimeout, balance.ConnectFailed)
 }
 
 // fail closes the connection and ends the push on it.
@@ -150,7 +150,7 @@
 }
 
 func (l *link) close(why transport.Reason) {
-	l.router.loop.Stop(&l.coming)
+	l.router.loop.StopTimer(&l.coming)
 	if l.flow != nil {
 		l.flow.end()
 	}
@@ -174,7 +174,7 @@
 	}
 	l.heard = true
 	a, err := l.reader.Next(&c.In)
-	if err == nil && l.reader.Held() > protocol.WholeMost && l.router.loop.Pool.Held() > l.router.memory.bytes/2 {
+	if err == nil && l.reader.Held() > protocol.WholeMost && l.router.loop.Pool.UsedBytes() > l.router.memory.bytes/2 {
 		err = errNoRoom
 	}
 	switch {
@@ -191,7 +191,7 @@
 // Ended implements transport.Owner.
 func (l *link) Ended(c *transport.Conn, why transport.Reason) {
 	switch {
-	case why == transport.Shed && l.push != nil:
+	case why == transport.Evicted && l.push != nil:
 		l.push.callOff(why)
 		return
 	case l.flow != nil:
@@ -230,16 +230,16 @@
 		l.begin(a)
 		return
 	case a.Flows > 0: // nobody wants it
-		p.callOff(transport.CalledOff)
+		p.callOff(transport.Cancelled)
 		return
 	}
 	p.move(over)
 	l.push = nil
 	o := outcomes[a.Kind]
 	switch {
-	case o == balance.Overloaded && !l.kept && !l.host.IsOrigin && l.conn.AtEnd():
+	case o == balance.Overloaded && !l.kept && !l.host.IsOrigin && l.conn.IsAtEOF():
 		o = balance.ConnLimited
-		l.close(transport.TableFull)
+		l.close(transport.PeerTableFull)
 	case !sent: // the rest of the push would stand before the next
 		l.close(transport.EarlyAnswer)
 	case l.early && a.ID == "" && a.Kind != protocol.Value && a.Kind != protocol.Receipt: // the push may be at work still
@@ -264,14 +264,14 @@
 // spare keeps the connection for the next push, if it is good for one.
 func (l *link) spare(last bool) {
 	l.kept = true
-	l.conn.Used = l.router.loop.Now()
+	l.conn.LastUsed = l.router.loop.Now()
 	switch {
 	case l.conn.In.Len() > 0: // more than was asked for: it would be taken for the next op's answer
 		l.close(transport.BadInput)
 	case last:
-		l.close(transport.LastAnswer)
+		l.close(transport.CloseRequested)
 	case !l.host.Usable() || l.conn.Peer() != l.host.address:
-		l.close(transport.Unlisted)
+		l.close(transport.HostGone)
 	default:
 		l.host.idle = append(l.host.idle, l)
 	}
@@ -292,10 +292,10 @@
 // leave closes the connections to a host that nothing more is to be sent to, but for those on which a push has begun to be
 // written: a connection that is still coming up may be up after any grace.
 func (h *host) leave() {
-	h.hangUp(transport.Unlisted)
+	h.hangUp(transport.HostGone)
 	for _, p := range slices.Clone(h.pushes) {
 		if p.state == waiting {
-			p.callOff(transport.Unlisted)
+			p.callOff(transport.HostGone)
 		}
 	}
 }
--- a/internal/routing/link_test.go
+++ b/internal/routing/link_test.go
@@ -27,9 +27,9 @@
 	l.push = &push{router: r, link: l, op: &op{command: &protocol.Command{}}}
 	l.conn.In.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 	l.Received(l.conn)
-	fmt.Println("held:", loop.Pool.Held() > 0)
+	fmt.Println("held:", loop.Pool.UsedBytes() > 0)
 	l.close(transport.Reset)
-	fmt.Println("held:", loop.Pool.Held() > 0)
+	fmt.Println("held:", loop.Pool.UsedBytes() > 0)
 	// Output:
 	// held: true
 	// held: false
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -29,7 +29,7 @@
 	if withOther {
 		m.bytes /= 2
 	}
-	m.pool.Most = m.bytes
+	m.pool.MaxBytes = m.bytes
 }
 
 // reserve sees to it that there is room for the long value that is on its way, and tells whether it may be read. Where
@@ -74,7 +74,7 @@
 		m.waiting = m.waiting[1:]
 		m.reserved += n
 		c.bulk, c.queued = n, false
-		c.conn.Pause(false)
+		c.conn.SetPaused(false)
 		c.attend(true)
 	}
 }
@@ -100,7 +100,7 @@
 
 // spare closes the clients that hold the most where buffers run short: over the limit of memory all would be lost.
 func (r *Router) spare() {
-	for r.loop.Pool.Full() {
+	for r.loop.Pool.IsFull() {
 		var worst *client
 		for _, c := range r.clients.all {
 			if n := c.idleBytes(); n > 0 && (worst == nil || n > worst.idleBytes()) {
@@ -112,7 +112,7 @@
 		}
 		why := transport.SlowReader
 		if worst.conn.Out.Len() == 0 {
-			why = transport.HalfSent
+			why = transport.IncompleteCommand
 		}
 		worst.cut(why)
 	}
--- a/internal/routing/port.go
+++ b/internal/routing/port.go
@@ -18,11 +18,11 @@
 		return
 	}
 	p.limit.Fire, p.before.Fire = p.late, p.withdraw
-	r.loop.Set(&p.limit, limit)
+	r.loop.SetTimer(&p.limit, limit)
 	p.op.pushes = append(p.op.pushes, p)
 	b.Host.Ref.(*host).link(r, b.Op.Category.Repeat != balance.Redeliverable).carry(p)
-	if !p.link.conn.Up() { // else it goes out with this round
-		r.loop.Set(&p.before, b.SendBy-now)
+	if !p.link.conn.IsOpen() { // else it goes out with this round
+		r.loop.SetTimer(&p.before, b.SendBy-now)
 	}
 }
 
@@ -30,7 +30,7 @@
 func (r *Router) Cancel(b *balance.Push) {
 	if p := b.Ref.(*push); p.state != over {
 		p.unheard()
-		p.callOff(transport.CalledOff)
+		p.callOff(transport.Cancelled)
 	}
 }
 
@@ -51,13 +51,13 @@
 }
 
 // SetTimer has the balancer woken after that many ms.
-func (r *Router) SetTimer(after float64) { r.loop.Set(&r.wake, after) }
+func (r *Router) SetTimer(after float64) { r.loop.SetTimer(&r.wake, after) }
 
 // SubscribeHostList begins a new watch on discovery's list.
 func (r *Router) SubscribeHostList() { r.watch.begin() }
 
 // CloseIdleConns closes the idle connections to a host.
-func (r *Router) CloseIdleConns(h *balance.Host) { h.Ref.(*host).hangUp(transport.HungUp) }
+func (r *Router) CloseIdleConns(h *balance.Host) { h.Ref.(*host).hangUp(transport.IdleReleased) }
 
 // ended tells the balancer how a push ended, and what its host told of its load, if anything.
 func (r *Router) ended(p *push, o balance.Outcome, load ...protocol.Attr) {
@@ -72,7 +72,7 @@
 	case p.took > 0: // a long value counts by its first bytes
 		spent = p.took
 	case o == balance.Served || o == balance.CacheMiss:
-		spent = max(0, r.loop.Heard()-p.began)
+		spent = max(0, r.loop.EarliestArrival()-p.began)
 	}
 	r.balancer.PushEnded(p.Push, o, spent, p.op.state != open, report)
 }
--- a/internal/routing/push.go
+++ b/internal/routing/push.go
@@ -41,10 +41,10 @@
 	}
 	p.state = to
 	if to >= flowing {
-		p.router.loop.Stop(&p.limit)
+		p.router.loop.StopTimer(&p.limit)
 	}
 	if to == over {
-		p.router.loop.Stop(&p.before)
+		p.router.loop.StopTimer(&p.before)
 		own := func(x *push) bool { return x == p }
 		p.op.pushes = slices.DeleteFunc(p.op.pushes, own)
 		if p.link != nil {
@@ -56,7 +56,7 @@
 // withdraw calls off a push that has not been written whole: it never runs.
 func (p *push) withdraw() {
 	if p.state < flowing && !p.sent() {
-		p.callOff(transport.CalledOff)
+		p.callOff(transport.Cancelled)
 	}
 }
 
@@ -87,7 +87,7 @@
 	p.outcome = outcome
 	p.move(over)
 	p.router.calledOff = append(p.router.calledOff, p)
-	p.router.loop.Again()
+	p.router.loop.SkipWait()
 }
 
 // late gives up a push whose time is over.
@@ -97,7 +97,7 @@
 		outcome = balance.ConnectFailed
 	}
 	p.unheard()
-	p.link.fail(transport.PushLate, outcome)
+	p.link.fail(transport.PushTimeout, outcome)
 }
 
 // went tells the balancer how long a push had to wait for this process: its host's time begins when it is written, or with
@@ -105,7 +105,7 @@
 func (p *push) went() {
 	if !p.gone {
 		p.gone = true
-		now := p.router.loop.Clock()
+		now := p.router.loop.ReadClock()
 		p.router.balancer.PushStarted(p.Push, now-p.began, !p.link.kept)
 		p.began = now
 	}
--- a/internal/routing/reload.go
+++ b/internal/routing/reload.go
@@ -18,7 +18,7 @@
 // Reload takes a configuration that was read anew. It may be called from any goroutine.
 func (r *Router) Reload(startFile *params.StartFile) {
 	r.configuration.reread.Store(startFile)
-	r.loop.Ring()
+	r.loop.Wake()
 }
 
 // reload moves the watch to where the new configuration says. The list, the ops and all other connections stay;
--- a/internal/routing/remaining_test.go
+++ b/internal/routing/remaining_test.go
@@ -25,7 +25,7 @@
 		{"long value", 1500, 1300, atOnceMost + 1, 150, 150},
 	} {
 		var pool transport.Pool
-		value := pool.Chain()
+		value := pool.NewChain()
 		value.WriteString(strings.Repeat("x", c.value))
 		p := &push{until: c.until, op: &op{deadline: c.deadline, command: &protocol.Command{Value: value}}}
 		if remaining, sending := p.split(now); remaining != c.remaining || sending != c.sending {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -99,7 +99,7 @@
 	if len(known.Members) > 0 {
 		r.list(&known, true, true)
 	}
-	loop.Round = r.round
+	loop.OnRoundStart = r.round
 	return r, nil
 }
 
@@ -107,7 +107,7 @@
 func (r *Router) round(now float64) {
 	r.shutdown.heed(r)
 	r.balancer.Advance(now)
-	r.balancer.ReportInputWait(r.loop.Waits())
+	r.balancer.ReportInputWait(r.loop.InputDelay())
 	r.reload()
 	r.takeInventory()
 	if r.shutdown.closing && r.handOver.successor != nil {
@@ -140,13 +140,13 @@
 		h.listed = m
 		if m.Address.IsValid() && m.Address != h.address {
 			h.address = m.Address
-			h.hangUp(transport.Unlisted)
+			h.hangUp(transport.HostGone)
 		}
 		if listing.Status != balance.Ready {
 			h.leave()
 		}
 		if listing.UpSince > h.UpSince { // connections to the process before are dead, whether they tell or not
-			h.hangUp(transport.Doubted)
+			h.hangUp(transport.HostSilent)
 		}
 		entries = append(entries, balance.HostEntry{Host: &h.Host, Listing: listing})
 	}
@@ -154,18 +154,18 @@
 	r.hosts.forget(r.loop.Now())
 }
 
-// Lists tells whether any cache host is listed.
-func (r *Router) Lists() bool {
+// HasListedHosts tells whether any cache host is listed.
+func (r *Router) HasListedHosts() bool {
 	known, _ := r.balancer.HostCounts()
 	return known > 0
 }
 
-// Serving tells why no op can be served now, if so.
-func (r *Router) Serving() error {
+// CheckReady tells why no op can be served now, if so.
+func (r *Router) CheckReady() error {
 	if r.clients.listener == nil {
-		return ErrShut
+		return ErrNotListening
 	}
-	if !r.Lists() {
+	if !r.HasListedHosts() {
 		return errors.New("no cache host is listed")
 	}
 	return nil
--- a/internal/routing/shutdown.go
+++ b/internal/routing/shutdown.go
@@ -19,7 +19,7 @@
 // Shutdown lets the program end when all is answered. It may be called from any goroutine.
 func (r *Router) Shutdown() {
 	r.shutdown.asked.Store(true)
-	r.loop.Ring()
+	r.loop.Wake()
 }
 
 // heed takes the word to stop.
@@ -33,7 +33,7 @@
 		r.sweep()
 		return
 	}
-	r.loop.Set(&s.timer, shutdownLinger)
+	r.loop.SetTimer(&s.timer, shutdownLinger)
 }
 
 // sweep closes clients' connections between two commands, or passes them on. What comes until the end is still served.
@@ -44,24 +44,24 @@
 		r.passOn()
 	}
 	for i := len(r.clients.all) - 1; i >= 0 && r.handOver.successor == nil; i-- {
-		if c := r.clients.all[i]; c.idle() && (c.proven || now-c.conn.Began > shutdownGrace) && !c.conn.Unheard() {
-			c.finish(transport.Stopping)
+		if c := r.clients.all[i]; c.idle() && (c.proven || now-c.conn.CreatedAt > shutdownGrace) && !c.conn.HasPendingInput() {
+			c.finish(transport.ShuttingDown)
 		}
 	}
 	if now-r.shutdown.began > shutdownTake && r.handOver.successor == nil {
 		r.balancer.StopAdmitting()
 	}
-	if len(r.clients.all) == 0 && !r.loop.Unsent() {
+	if len(r.clients.all) == 0 && !r.loop.HasUnsent() {
 		if r.shutdown.empty == 0 {
 			r.shutdown.empty = now
 		}
-		if now-r.shutdown.empty > shutdownLast && (r.handOver.successor == nil || !r.handOver.successor.Waiting()) {
+		if now-r.shutdown.empty > shutdownLast && (r.handOver.successor == nil || !r.handOver.successor.HasUnsent()) {
 			r.log.Info("stopped", "ms", int(now-r.shutdown.began))
-			r.loop.End()
+			r.loop.Quit()
 			return
 		}
 	} else {
 		r.shutdown.empty = 0
 	}
-	r.loop.Set(&r.shutdown.timer, shutdownSweep)
+	r.loop.SetTimer(&r.shutdown.timer, shutdownSweep)
 }
--- a/internal/routing/upgrade.go
+++ b/internal/routing/upgrade.go
@@ -12,22 +12,22 @@
 
 const passMost = 48 << 10 // bytes of a command that is passed on half read: more would not fit a message
 
-// Partner is the other process while two live.
-type Partner interface {
+// PeerProcess is the other process while two live.
+type PeerProcess interface {
 	// TellBan has it ban a host, or lift the ban; done hears whether it knows the host.
-	TellBan(id string, out bool, done func(known bool))
+	ForwardBan(id string, out bool, done func(known bool))
 }
 
 // Successor is the process that takes over.
 type Successor interface {
-	Pass(fd int, unread []byte, proven bool) // a client's connection, and whether an op has come on it
-	Waiting() bool                           // some of that is still on its way
+	PassConnection(fd int, unread []byte, proven bool) // a client's connection, and whether an op has come on it
+	HasUnsent() bool                                   // some of that is still on its way
 }
 
 // handOver is what this process knows of the other ones of its instance while there are any.
 type handOver struct {
-	partner   Partner   // the other process of an upgrade, or nil
-	successor Successor // the one that takes over, once it serves, or nil
+	partner   PeerProcess // the other process of an upgrade, or nil
+	successor Successor   // the one that takes over, once it serves, or nil
 }
 
 // Listen listens at an address; a shared one may have listeners of several processes.
@@ -36,8 +36,8 @@
 	return err
 }
 
-// Inherit listens on a socket that another process has listened on.
-func (r *Router) Inherit(fd int) (err error) {
+// AdoptListener listens on a socket that another process has listened on.
+func (r *Router) AdoptListener(fd int) (err error) {
 	r.clients.listener, err = r.loop.AdoptListener("client", fd, 0, r.accept)
 	return err
 }
@@ -45,23 +45,23 @@
 // Listener is the clients' listener; nil while there is none.
 func (r *Router) Listener() *transport.Listener { return r.clients.listener }
 
-// With tells of the other process that lives beside this one, nil where there is none; both together have the memory of
+// SetPeerProcess tells of the other process that lives beside this one, nil where there is none; both together have the memory of
 // one.
-func (r *Router) With(p Partner) {
+func (r *Router) SetPeerProcess(p PeerProcess) {
 	r.handOver.partner = p
 	r.memory.share(p != nil)
 }
 
-// Succeed tells of the process that takes over, nil where it is lost. This one leaves new connections to it, and from the word to
+// SetSuccessor tells of the process that takes over, nil where it is lost. This one leaves new connections to it, and from the word to
 // stop on passes its clients on.
-func (r *Router) Succeed(s Successor) {
+func (r *Router) SetSuccessor(s Successor) {
 	r.handOver.successor = s
-	r.clients.listener.Suspend(s != nil)
-	r.loop.Again()
+	r.clients.listener.SetSuspended(s != nil)
+	r.loop.SkipWait()
 }
 
-// Known is what another process has to know of hosts: the list as it stands, the ids there were, and those banned.
-func (r *Router) Known() (l *protocol.List, past, banned []string) {
+// KnownHosts is what another process has to know of hosts: the list as it stands, the ids there were, and those banned.
+func (r *Router) KnownHosts() (l *protocol.List, past, banned []string) {
 	l = &protocol.List{Revision: r.watch.revision, Complete: true}
 	for id, h := range r.hosts.byID {
 		if h.Status != balance.Gone {
@@ -80,14 +80,14 @@
 	return l, append(slices.Clone(r.hosts.past.order), past...), banned
 }
 
-// Yield leaves the budgets for cold hosts to another process, or takes them back.
-func (r *Router) Yield(on bool) { r.balancer.YieldColdHosts(on) }
+// YieldColdBudgets leaves the budgets for cold hosts to another process, or takes them back.
+func (r *Router) YieldColdBudgets(on bool) { r.balancer.YieldColdHosts(on) }
 
 // Learned is what the balancer has learned.
 func (r *Router) Learned() balance.Learned { return r.balancer.Learned() }
 
-// Adopt takes what another process knows of hosts.
-func (r *Router) Adopt(l *protocol.List, past, banned []string, learned []balance.Learned) {
+// AdoptHostState takes what another process knows of hosts.
+func (r *Router) AdoptHostState(l *protocol.List, past, banned []string, learned []balance.Learned) {
 	for _, id := range past {
 		if r.hosts.byID[id] == nil {
 			r.hosts.past.add(id)
@@ -106,9 +106,9 @@
 	r.banAll(banned)
 }
 
-// Passed takes a client's connection that another process has passed on.
-func (r *Router) Passed(fd int, unread []byte, proven bool) {
-	c := r.clients.listener.AdoptConn(fd, unread).Owner.(*client)
+// AdoptClient takes a client's connection that another process has passed on.
+func (r *Router) AdoptClient(fd int, unread []byte, proven bool) {
+	c := r.clients.listener.AdoptConn(fd, unread).Handler.(*client)
 	c.proven = proven
 	c.attend(false)
 }
@@ -117,12 +117,12 @@
 func (r *Router) passOn() {
 	for _, c := range slices.Clone(r.clients.all) {
 		unread := c.commands.Unread()
-		if len(c.line) > 0 || c.conn.Out.Len() > 0 || c.ending != "" || !c.conn.Up() ||
+		if len(c.line) > 0 || c.conn.Out.Len() > 0 || c.ending != "" || !c.conn.IsOpen() ||
 			len(unread)+c.conn.In.Len() > passMost {
 			continue
 		}
 		c.leave()
-		fd, in := c.conn.Pass()
-		r.handOver.successor.Pass(fd, append([]byte(unread), in...), c.proven)
+		fd, in := c.conn.Detach()
+		r.handOver.successor.PassConnection(fd, append([]byte(unread), in...), c.proven)
 	}
 }
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -38,13 +38,13 @@
 	}
 	w.conn.Flush()
 	if wait != watchFirst {
-		w.router.loop.Set(&w.limit, watchWait+watchSlack)
+		w.router.loop.SetTimer(&w.limit, watchWait+watchSlack)
 	}
 }
 
 // end closes the connection to discovery.
 func (w *watch) end(why transport.Reason) {
-	w.router.loop.Stop(&w.limit)
+	w.router.loop.StopTimer(&w.limit)
 	if w.conn != nil {
 		w.lists.Free()
 		w.conn.Close(why)
@@ -60,7 +60,7 @@
 // overdue gives up a call that is not answered in time. A watch may hang on a connection that is dead without a
 // word: what is to be told counts as told soon after the wait, so it is asked for at once on a new one.
 func (w *watch) overdue() {
-	w.end(transport.WatchOverdue)
+	w.end(transport.WatchTimeout)
 	w.router.balancer.HostListMoved()
 }
 
@@ -84,13 +84,13 @@
 	switch {
 	case err != nil:
 		w.router.log.Warn("no list", "error", err)
-		w.fail(transport.NoList)
+		w.fail(transport.InvalidList)
 		return
 	case l == nil:
 		return
 	}
 	if last {
-		w.end(transport.LastAnswer)
+		w.end(transport.CloseRequested)
 	}
 	w.whole = w.hides(l)
 	w.revision = l.Revision
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -42,11 +42,11 @@
 		h.loop.Close()
 		return nil, err
 	}
-	round := h.loop.Round
-	h.loop.Round = func(now float64) {
+	round := h.loop.OnRoundStart
+	h.loop.OnRoundStart = func(now float64) {
 		round(now)
 		if h.stopping.Load() {
-			h.loop.End()
+			h.loop.Quit()
 		}
 	}
 	go func() { h.ended <- h.loop.Run() }()
@@ -56,7 +56,7 @@
 // stop ends the balancer and closes its sockets.
 func (h *hollow) stop() error {
 	h.stopping.Store(true)
-	h.loop.Ring()
+	h.loop.Wake()
 	err := <-h.ended
 	h.loop.Close()
 	return err
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -221,7 +221,7 @@
 
 // read takes an answer of discovery from its bytes to the module.
 func (r *listReader) read(answer []byte) error {
-	chain := r.pool.Chain()
+	chain := r.pool.NewChain()
 	if _, err := chain.Write(answer); err != nil {
 		return err
 	}
--- a/internal/takeover/bans.go
+++ b/internal/takeover/bans.go
@@ -24,7 +24,7 @@
 	b.number++
 	n, x := b.number, &ban{done: done}
 	x.limit.Fire = func() { b.answered(loop, n, false) }
-	loop.Set(&x.limit, tellMost)
+	loop.SetTimer(&x.limit, tellMost)
 	b.open[n] = x
 	send(c, message{Kind: kindBan, ID: id, Out: out, Number: n}, -1)
 }
@@ -32,7 +32,7 @@
 func (b *bans) answered(loop *transport.Loop, n int, known bool) {
 	if x := b.open[n]; x != nil {
 		delete(b.open, n)
-		loop.Stop(&x.limit)
+		loop.StopTimer(&x.limit)
 		x.done(known)
 	}
 }
@@ -48,7 +48,7 @@
 func (b *bans) heed(t *Takeover, c *transport.ControlChannel, m message) {
 	switch m.Kind {
 	case kindBan:
-		err := t.router.TakeBan(m.ID, m.Out)
+		err := t.router.ApplyBan(m.ID, m.Out)
 		send(c, message{Kind: kindBanned, Number: m.Number, Known: err == nil}, -1)
 	case kindBanned:
 		b.answered(t.loop, m.Number, m.Known)
--- a/internal/takeover/predecessor.go
+++ b/internal/takeover/predecessor.go
@@ -36,9 +36,9 @@
 		p.inherit(fd, m.Sockets)
 		return
 	case m.Kind == kindClient && fd >= 0 && p.served:
-		p.router.Passed(fd, m.Unread, m.Proven)
-		_, most := p.loop.Sockets()
-		p.loop.Most(most + 1)
+		p.router.AdoptClient(fd, m.Unread, m.Proven)
+		_, most := p.loop.SocketUsage()
+		p.loop.SetMaxSockets(most + 1)
 		return
 	case m.Kind == kindLater:
 		p.log.Info("the running process is handing over to another", "why", m.Why)
@@ -57,10 +57,10 @@
 
 // inherit takes the place of the running process.
 func (p *predecessor) inherit(fd, sockets int) {
-	p.loop.Stop(&p.limit)
-	p.loop.Most(min(sockets, p.sockets))
-	p.router.Adopt(&p.list, p.past, p.banned, p.learned)
-	if err := p.router.Inherit(fd); err != nil {
+	p.loop.StopTimer(&p.limit)
+	p.loop.SetMaxSockets(min(sockets, p.sockets))
+	p.router.AdoptHostState(&p.list, p.past, p.banned, p.learned)
+	if err := p.router.AdoptListener(fd); err != nil {
 		p.giveUp(err.Error())
 		return
 	}
@@ -79,7 +79,7 @@
 			p.giveUp("nobody runs here any more")
 		}
 	}
-	p.loop.Set(&wait, askAgain)
+	p.loop.SetTimer(&wait, askAgain)
 }
 
 // PeerLost implements transport.PeerHandler: the running process has ended.
@@ -94,7 +94,7 @@
 	p.shared()
 }
 
-// TellBan implements routing.Partner.
-func (p *predecessor) TellBan(id string, out bool, done func(known bool)) {
+// ForwardBan implements routing.Partner.
+func (p *predecessor) ForwardBan(id string, out bool, done func(known bool)) {
 	p.bans.tell(p.loop, p.channel, id, out, done)
 }
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -33,13 +33,13 @@
 	case s.successor != s: // its request has not been granted
 	case m.Kind == kindReady:
 		s.ready = true
-		s.loop.Stop(&s.limit)
+		s.loop.StopTimer(&s.limit)
 		if s.control != nil {
 			s.control.Close()
 			s.control = nil
 		}
 		s.log.Info("handed over")
-		s.router.Succeed(s)
+		s.router.SetSuccessor(s)
 	default:
 		s.bans.heed(s.Takeover, c, m)
 	}
@@ -47,30 +47,30 @@
 
 // handOver tells the new process all that it needs, the listening socket last.
 func (s *successor) handOver() {
-	listener, err := s.router.Listener().Copy()
+	listener, err := s.router.Listener().DupDescriptor()
 	if err != nil {
 		send(s.channel, message{Kind: kindRefused, Why: err.Error()}, -1)
 		return
 	}
 	s.successor = s
-	s.router.Yield(true)
+	s.router.YieldColdBudgets(true)
 	s.shared()
 	s.limit.Fire = func() { // one that stands still must not keep the next from its turn
 		s.channel.Close()
 		s.PeerLost(s.channel, nil)
 	}
-	s.loop.Set(&s.limit, askMost)
-	open, most := s.loop.Sockets()
+	s.loop.SetTimer(&s.limit, askMost)
+	open, most := s.loop.SocketUsage()
 	own := max(most/2, min(open+most/headroom, most-most/headroom))
-	s.loop.Most(own)
-	l, past, banned := s.router.Known()
+	s.loop.SetMaxSockets(own)
+	l, past, banned := s.router.KnownHosts()
 	sendList(s.channel, l.Members, func(part []protocol.Listed) message {
 		return message{Kind: kindList, List: &protocol.List{Revision: l.Revision, Complete: true, Members: part}}
 	})
 	sendList(s.channel, past, func(part []string) message { return message{Kind: kindPast, Past: part} })
 	sendList(s.channel, banned, func(part []string) message { return message{Kind: kindPast, Banned: part} })
 	sendLearned(s.channel, s.router.Learned())
-	send(s.channel, message{Kind: kindListener, Sockets: max(most-own-transport.SpareFiles, most/headroom)}, listener)
+	send(s.channel, message{Kind: kindListener, Sockets: max(most-own-transport.ReservedDescriptors, most/headroom)}, listener)
 }
 
 // PeerLost implements transport.PeerHandler: the new process is gone, and this one goes on as before.
@@ -80,33 +80,33 @@
 	}
 	s.log.Warn("the process that was to take over is gone", "served", s.ready)
 	s.successor = nil
-	s.router.Yield(false)
-	s.loop.Stop(&s.limit)
+	s.router.YieldColdBudgets(false)
+	s.loop.StopTimer(&s.limit)
 	s.bans.lost(s.loop)
 	if s.ready {
-		s.router.Succeed(nil)
+		s.router.SetSuccessor(nil)
 	}
 	s.settle()
 	for _, u := range unsent {
 		if m := s.read(u); u.FD >= 0 && m.Kind == kindClient {
-			s.router.Passed(u.FD, m.Unread, m.Proven)
+			s.router.AdoptClient(u.FD, m.Unread, m.Proven)
 		} else if u.FD >= 0 {
 			unix.Close(u.FD)
 		}
 	}
 }
 
-// TellBan implements routing.Partner.
-func (s *successor) TellBan(id string, out bool, done func(known bool)) {
+// ForwardBan implements routing.Partner.
+func (s *successor) ForwardBan(id string, out bool, done func(known bool)) {
 	s.bans.tell(s.loop, s.channel, id, out, done)
 }
 
-// Pass implements routing.Successor.
-func (s *successor) Pass(fd int, unread []byte, proven bool) {
+// PassConnection implements routing.Successor.
+func (s *successor) PassConnection(fd int, unread []byte, proven bool) {
 	send(s.channel, message{Kind: kindClient, Unread: unread, Proven: proven}, fd)
-	_, most := s.loop.Sockets()
-	s.loop.Most(most - 1)
+	_, most := s.loop.SocketUsage()
+	s.loop.SetMaxSockets(most - 1)
 }
 
-// Waiting implements routing.Successor.
-func (s *successor) Waiting() bool { return s.channel.Waiting() }
+// HasUnsent implements routing.Successor.
+func (s *successor) HasUnsent() bool { return s.channel.HasUnsent() }
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -42,11 +42,11 @@
 	share func(processes int)) (*Takeover, error) {
 	name := "larchthread-" + strings.NewReplacer(":", "-", "[", "", "]", "").Replace(listen.String())
 	t := &Takeover{loop: loop, log: log, router: router, listen: listen, path: filepath.Join(dir, name), share: share}
-	_, t.sockets = loop.Sockets()
+	_, t.sockets = loop.SocketUsage()
 	if !t.ask() {
 		return t, t.alone("nobody runs here")
 	}
-	loop.Set(&t.limit, askMost)
+	loop.SetTimer(&t.limit, askMost)
 	t.limit.Fire = func() { t.giveUp("the running process does not hand over") }
 	return t, nil
 }
@@ -76,7 +76,7 @@
 
 // alone opens a listener of its own, at an address that may be shared with a process that would not hand over.
 func (t *Takeover) alone(why string) error {
-	t.loop.Stop(&t.limit)
+	t.loop.StopTimer(&t.limit)
 	if t.predecessor != nil {
 		t.predecessor.channel.Close()
 		t.predecessor = nil
@@ -93,7 +93,7 @@
 func (t *Takeover) giveUp(why string) {
 	if err := t.alone(why); err != nil {
 		t.failed = err
-		t.loop.End()
+		t.loop.Quit()
 	}
 }
 
@@ -112,14 +112,14 @@
 func (t *Takeover) shared() {
 	switch {
 	case t.successor != nil:
-		t.router.With(t.successor)
+		t.router.SetPeerProcess(t.successor)
 		t.share(2)
 	case t.predecessor != nil:
-		t.router.With(t.predecessor)
+		t.router.SetPeerProcess(t.predecessor)
 		t.share(2)
 	default:
-		t.router.With(nil)
-		t.loop.Most(t.sockets)
+		t.router.SetPeerProcess(nil)
+		t.loop.SetMaxSockets(t.sockets)
 		t.share(1)
 	}
 }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -165,7 +165,7 @@
 			dir, startFile := t.TempDir(), toldWith(t, c.categories)
 			state := stateOf(startFile, c.hosts, c.suffix)
 			running, next := newProcess(t, startFile), newProcess(t, startFile)
-			running.router.Adopt(state.list, nil, state.banned, []balance.Learned{state.learned})
+			running.router.AdoptHostState(state.list, nil, state.banned, []balance.Learned{state.learned})
 			running.run(t, startFile, dir)
 			running.await(t, "listening")
 			began := time.Now()
@@ -177,7 +177,7 @@
 			if text := running.log.String() + next.log.String(); strings.Contains(text, "level=WARN") {
 				t.Errorf("warnings:\n%.4000s", text)
 			}
-			list, _, banned := next.router.Known()
+			list, _, banned := next.router.KnownHosts()
 			if len(list.Members) != c.hosts || len(banned) != len(state.banned) {
 				t.Errorf("%d hosts and %d bans, want %d and %d", len(list.Members), len(banned), c.hosts, len(state.banned))
 			}
--- a/internal/transport/arrival_test.go
+++ b/internal/transport/arrival_test.go
@@ -28,7 +28,7 @@
 
 func (r *recorder) Received(c *Conn) {
 	c.In.Free()
-	r.came <- arrival{c.loop.Now(), c.Arrived}
+	r.came <- arrival{c.loop.Now(), c.ArrivedAt}
 	if r.during != nil {
 		r.during(c)
 	}
@@ -44,22 +44,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accept := func(c *Conn) { c.Owner, c.Use = r, func() Use { return Needed } }
+	accept := func(c *Conn) { c.Handler, c.EvictionClass = r, func() EvictionClass { return Needed } }
 	if _, err := loop.Listen("client", address, 0, accept); err != nil {
 		t.Fatal(err)
 	}
 	stop, done := make(chan bool), make(chan error)
-	loop.Round = func(float64) {
+	loop.OnRoundStart = func(float64) {
 		select {
 		case <-stop:
-			loop.End()
+			loop.Quit()
 		default:
 		}
 	}
 	go func() { done <- loop.Run() }()
 	t.Cleanup(func() {
 		close(stop)
-		loop.Ring()
+		loop.Wake()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -92,7 +92,7 @@
 // send writes a byte and returns when, by the loop's clock.
 func send(t *testing.T, loop *Loop, conn net.Conn) float64 {
 	t.Helper()
-	at := loop.Clock()
+	at := loop.ReadClock()
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -108,9 +108,9 @@
 		if pauses++; pauses > 1 {
 			return
 		}
-		c.Pause(true)
-		resume.Fire = func() { c.Pause(false) }
-		c.loop.Set(&resume, float64(waitFor.Milliseconds()))
+		c.SetPaused(true)
+		resume.Fire = func() { c.SetPaused(false) }
+		c.loop.SetTimer(&resume, float64(waitFor.Milliseconds()))
 	}
 	loop, address := record(t, r, 256)
 	client := dialTest(t, address)
@@ -136,9 +136,9 @@
 	r := &recorder{came: make(chan arrival, 2)}
 	var resume Timer
 	r.during = func(c *Conn) {
-		c.Pause(true)
-		resume.Fire = func() { c.Pause(false) }
-		c.loop.Set(&resume, 1)
+		c.SetPaused(true)
+		resume.Fire = func() { c.SetPaused(false) }
+		c.loop.SetTimer(&resume, 1)
 	}
 	loop, address := record(t, r, 256)
 	client := dialTest(t, address)
@@ -154,9 +154,9 @@
 // What a client sent while it stood in the queue of a listener that had no socket for it counts from then.
 func TestArrivedInQueue(t *testing.T) {
 	r := &recorder{came: make(chan arrival, 64)}
-	loop, address := record(t, r, 2*SpareFiles)
+	loop, address := record(t, r, 2*ReservedDescriptors)
 	var clients []net.Conn
-	for range SpareFiles - SpareFiles/dialShare {
+	for range ReservedDescriptors - ReservedDescriptors/dialShare {
 		client := dialTest(t, address)
 		send(t, loop, client)
 		<-r.came
@@ -230,13 +230,13 @@
 	r := &recorder{came: make(chan arrival, 2)}
 	var room Timer
 	r.during = func(c *Conn) {
-		c.loop.Pool.Most = 1
+		c.loop.Pool.MaxBytes = 1
 		held := c.loop.Pool.get()
 		room.Fire = func() {
 			c.loop.Pool.put(held)
-			c.loop.Pool.Most = 0
+			c.loop.Pool.MaxBytes = 0
 		}
-		c.loop.Set(&room, float64(waitFor.Milliseconds()))
+		c.loop.SetTimer(&room, float64(waitFor.Milliseconds()))
 		r.during = nil
 	}
 	loop, address := record(t, r, 256)
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -9,17 +9,17 @@
 
 // Pool hands out buffers and takes them back. It belongs to one loop.
 type Pool struct {
-	Most int // bytes handed out at which nothing more is read from clients; 0 for no bound
+	MaxBytes int // bytes handed out at which nothing more is read from clients; 0 for no bound
 
 	free []*buffer
 	out  int
 }
 
-// Full tells whether there is no room for what clients send.
-func (p *Pool) Full() bool { return p.Most > 0 && p.Held() >= p.Most }
+// IsFull tells whether there is no room for what clients send.
+func (p *Pool) IsFull() bool { return p.MaxBytes > 0 && p.UsedBytes() >= p.MaxBytes }
 
-// Held is how many bytes are handed out.
-func (p *Pool) Held() int { return p.out * BufferSize }
+// UsedBytes is how many bytes are handed out.
+func (p *Pool) UsedBytes() int { return p.out * BufferSize }
 
 func (p *Pool) get() *buffer {
 	p.out++
@@ -47,8 +47,8 @@
 	size int
 }
 
-// Chain makes an empty chain of the pool's buffers.
-func (p *Pool) Chain() Chain { return Chain{pool: p} }
+// NewChain makes an empty chain of the pool's buffers.
+func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
 // Len is how many bytes the chain holds.
 func (c *Chain) Len() int { return c.size }
@@ -91,8 +91,8 @@
 	}
 }
 
-// CopyPart appends n bytes of what d holds, from the byte at on, and leaves d as it is.
-func (c *Chain) CopyPart(d *Chain, at, n int) {
+// AppendRange appends n bytes of what d holds, from the byte at on, and leaves d as it is.
+func (c *Chain) AppendRange(d *Chain, at, n int) {
 	for _, b := range d.bufs {
 		part := b.data[b.r:b.w]
 		skip := min(at, len(part))
@@ -126,9 +126,9 @@
 // Free gives all buffers back.
 func (c *Chain) Free() { c.Drop(c.size) }
 
-// Cut moves n bytes off the front into a chain of their own. Whole buffers move as they are.
-func (c *Chain) Cut(n int) Chain {
-	d := c.pool.Chain()
+// SplitFront moves n bytes off the front into a chain of their own. Whole buffers move as they are.
+func (c *Chain) SplitFront(n int) Chain {
+	d := c.pool.NewChain()
 	for n > 0 {
 		b := c.bufs[0]
 		if k := b.w - b.r; k <= n {
@@ -146,9 +146,9 @@
 	return d
 }
 
-// Line takes a line that ends in LF off the front and returns it without its line end. It reports false
+// ReadLine takes a line that ends in LF off the front and returns it without its line end. It reports false
 // while none is whole. The line is a copy.
-func (c *Chain) Line() (string, bool) {
+func (c *Chain) ReadLine() (string, bool) {
 	var line []byte
 	for _, b := range c.bufs {
 		part := b.data[b.r:b.w]
@@ -169,9 +169,9 @@
 	return "", false
 }
 
-// Head is the line at the front with its end, where it is whole in the first buffer, or nil. It is good until the chain
+// PeekLine is the line at the front with its end, where it is whole in the first buffer, or nil. It is good until the chain
 // is next changed.
-func (c *Chain) Head() []byte {
+func (c *Chain) PeekLine() []byte {
 	if len(c.bufs) == 0 {
 		return nil
 	}
@@ -196,11 +196,11 @@
 	}
 }
 
-// Sibling makes an empty chain of the same pool.
-func (c *Chain) Sibling() Chain { return c.pool.Chain() }
+// NewSibling makes an empty chain of the same pool.
+func (c *Chain) NewSibling() Chain { return c.pool.NewChain() }
 
-// Move appends what d holds and leaves d empty. Full buffers move as they are.
-func (c *Chain) Move(d *Chain) {
+// MoveFrom appends what d holds and leaves d empty. Full buffers move as they are.
+func (c *Chain) MoveFrom(d *Chain) {
 	for _, b := range d.bufs {
 		if n := len(c.bufs); n > 0 && BufferSize-c.bufs[n-1].w >= b.w-b.r {
 			c.Write(b.data[b.r:b.w])
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,19 +7,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Owner is told what becomes of a connection.
-type Owner interface {
+// ConnHandler is told what becomes of a connection.
+type ConnHandler interface {
 	Received(c *Conn)          // more bytes stand in c.In
 	Ended(c *Conn, why Reason) // the other side or the network ended it; not called after Close
 }
 
-// Use is what a connection is good for, where room has to be made.
-type Use uint8
+// EvictionClass is what a connection is good for, where room has to be made.
+type EvictionClass uint8
 
 const (
-	Needed   Use = iota // something is owed on it
-	Idle                // nothing is, now
-	Unproven            // nothing of use has ever come on it
+	Needed   EvictionClass = iota // something is owed on it
+	Idle                          // nothing is, now
+	Unproven                      // nothing of use has ever come on it
 )
 
 // status of a connection.
@@ -34,14 +34,14 @@
 
 // Conn is one connection.
 type Conn struct {
-	In, Out Chain
-	Owner   Owner
-	Prepare func()     // called right before Out is written: it appends what depends on the time of writing; may be nil
-	Wrote   func()     // hears that some of Out has been written, or that a dial has begun; nil where nobody wants to
-	Use     func() Use // tells whether the connection may be closed to make room
-	Used    float64    // ms, when it last carried anything
-	Began   float64    // ms
-	Arrived float64    // ms, the earliest time at which the last byte of a command in In can have come
+	In, Out       Chain
+	Handler       ConnHandler
+	BeforeWrite   func()               // called right before Out is written: it appends what depends on the time of writing; may be nil
+	AfterWrite    func()               // hears that some of Out has been written, or that a dial has begun; nil where nobody wants to
+	EvictionClass func() EvictionClass // tells whether the connection may be closed to make room
+	LastUsed      float64              // ms, when it last carried anything
+	CreatedAt     float64              // ms
+	ArrivedAt     float64              // ms, the earliest time at which the last byte of a command in In can have come
 
 	loop     *Loop
 	listener *Listener // through which it came, or nil
@@ -69,8 +69,8 @@
 // reserved tells whether the connection has its descriptor out of its listener's reserve.
 func (c *Conn) reserved() bool { return c.listener != nil && c.listener.reserve > 0 }
 
-// Up tells whether the connection is open.
-func (c *Conn) Up() bool { return c.status == up }
+// IsOpen tells whether the connection is open.
+func (c *Conn) IsOpen() bool { return c.status == up }
 
 // move is the one place where a connection changes its status.
 func (c *Conn) move(to status) {
@@ -81,7 +81,7 @@
 
 // Flush has what stands in Out written when the round is carried out.
 func (c *Conn) Flush() {
-	c.Used = c.loop.now
+	c.LastUsed = c.loop.now
 	c.mark()
 }
 
@@ -93,7 +93,7 @@
 	c.move(closed)
 	c.In.Free()
 	c.Out.Free()
-	c.loop.Stop(&c.last)
+	c.loop.StopTimer(&c.last)
 	c.loop.shut = append(c.loop.shut, c)
 	if c.fd >= 0 && !c.reserved() {
 		c.loop.open--
@@ -104,13 +104,13 @@
 	c.log(why)
 }
 
-// Pass takes an open connection out of the loop and returns its descriptor and what has been read of it and not been
+// Detach takes an open connection out of the loop and returns its descriptor and what has been read of it and not been
 // taken. Nothing more comes to its owner.
-func (c *Conn) Pass() (fd int, unread []byte) {
+func (c *Conn) Detach() (fd int, unread []byte) {
 	fd, unread = c.fd, c.In.Bytes()
 	unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, fd, nil) // the socket lives on: closing it here would not do
 	c.loop.conns[fd] = nil
-	c.Close(PassedOn)
+	c.Close(HandedOver)
 	c.fd = -1
 	return fd, unread
 }
@@ -125,16 +125,16 @@
 	}
 	c.move(halfClosing)
 	c.In.Free()
-	c.Use = func() Use {
+	c.EvictionClass = func() EvictionClass {
 		if c.Out.Len() > 0 {
 			return Needed
 		}
 		return Unproven
 	}
-	c.Wrote = nil
+	c.AfterWrite = nil
 	c.last.Fire = func() { c.Close(why) }
-	c.Owner = ender{why}
-	c.loop.Set(&c.last, halfCloseMost)
+	c.Handler = ender{why}
+	c.loop.SetTimer(&c.last, halfCloseMost)
 	c.paused = false
 	c.Flush()
 }
@@ -147,7 +147,7 @@
 
 func (c *Conn) log(why Reason) {
 	c.loop.Log.Info("connection ended", "reason", string(why), "kind", c.kind, "peer", c.peer.String(),
-		"ms", int(c.loop.now-c.Began), "in", c.took, "out", c.gave)
+		"ms", int(c.loop.now-c.CreatedAt), "in", c.took, "out", c.gave)
 }
 
 // noted puts the connection on the list of those with news.
@@ -171,10 +171,10 @@
 	c.news = false
 	if c.fresh && c.status != closed && !(c.fromClient() && c.why != "") {
 		c.fresh = false
-		c.Owner.Received(c)
+		c.Handler.Received(c)
 	}
 	if c.why != "" && c.status != closed {
-		c.Owner.Ended(c, c.why)
+		c.Handler.Ended(c, c.why)
 		c.Close(c.why)
 	}
 }
@@ -214,7 +214,7 @@
 func (c *Conn) gather(events uint32) {
 	if c.status == connecting {
 		if err := pending(c.fd); err != nil || events&unix.EPOLLHUP != 0 {
-			c.broke(Refused)
+			c.broke(ConnectFailed)
 			return
 		}
 		c.move(up)
@@ -243,8 +243,8 @@
 
 // write passes on what stands in Out, as far as the socket takes it.
 func (c *Conn) write() {
-	if c.Prepare != nil {
-		c.Prepare()
+	if c.BeforeWrite != nil {
+		c.BeforeWrite()
 	}
 	if c.status == closed { // what was to be written has no time left
 		return
@@ -265,17 +265,17 @@
 		}
 		c.gave += uint64(n)
 		c.Out.Drop(n)
-		c.Used = c.loop.now
+		c.LastUsed = c.loop.now
 	}
-	if c.Wrote != nil && c.Out.Len() < before {
-		c.Wrote()
+	if c.AfterWrite != nil && c.Out.Len() < before {
+		c.AfterWrite()
 	}
 	if c.paused && c.Out.Len() == 0 { // what was left unread for the answers not taken would wait for ever
-		c.loop.Later(c)
+		c.loop.ScheduleReceive(c)
 	}
 	if c.status == halfClosing && c.Out.Len() == 0 {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
-		c.loop.Set(&c.last, halfCloseFor)
+		c.loop.SetTimer(&c.last, halfCloseFor)
 	}
 	c.interest()
 }
--- a/internal/transport/control.go
+++ b/internal/transport/control.go
@@ -136,8 +136,8 @@
 	c.queue = append(c.queue, Message{data, fd})
 }
 
-// Waiting tells whether messages are still to be sent.
-func (c *ControlChannel) Waiting() bool { return len(c.queue) > 0 }
+// HasUnsent tells whether messages are still to be sent.
+func (c *ControlChannel) HasUnsent() bool { return len(c.queue) > 0 }
 
 // Close ends the channel at once; what is not sent is thrown away.
 func (c *ControlChannel) Close() {
@@ -232,11 +232,11 @@
 		case unix.EINTR:
 			continue
 		case unix.EAGAIN, unix.ETOOMANYREFS, unix.ENOBUFS:
-			c.loop.Set(&c.loop.resend, resendAfter)
+			c.loop.SetTimer(&c.loop.resend, resendAfter)
 			return
 		default:
 			c.lost = true
-			c.loop.Again()
+			c.loop.SkipWait()
 			return
 		}
 		if m.FD >= 0 {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -51,7 +51,7 @@
 	}
 	ln.paused = !on
 	if !on {
-		ln.loop.Set(&ln.resume, acceptPause)
+		ln.loop.SetTimer(&ln.resume, acceptPause)
 	}
 	events := uint32(0)
 	if on {
@@ -70,7 +70,7 @@
 		return true
 	}
 	for _, conn := range ln.reserved { // the oldest first
-		if l.now-conn.Began >= conn.grace() {
+		if l.now-conn.CreatedAt >= conn.grace() {
 			l.shed(conn)
 			return true
 		}
@@ -120,8 +120,8 @@
 // add makes a connection of a socket that came in.
 func (ln *Listener) add(fd int, from unix.Sockaddr) *Conn {
 	l := ln.loop
-	c := &Conn{loop: l, listener: ln, kind: ln.kind, fd: fd, status: up, Began: l.now, Used: l.now,
-		In: l.Pool.Chain(), Out: l.Pool.Chain()}
+	c := &Conn{loop: l, listener: ln, kind: ln.kind, fd: fd, status: up, CreatedAt: l.now, LastUsed: l.now,
+		In: l.Pool.NewChain(), Out: l.Pool.NewChain()}
 	if p, ok := from.(*unix.SockaddrInet4); ok {
 		c.peer = netip.AddrPortFrom(netip.AddrFrom4(p.Addr), uint16(p.Port))
 	}
@@ -143,25 +143,25 @@
 	unix.SetNonblock(fd, true)
 	from, _ := unix.Getpeername(fd)
 	c := ln.add(fd, from)
-	c.Arrived = ln.loop.least()
+	c.ArrivedAt = ln.loop.least()
 	if !c.nothingUnread() {
-		c.unread = c.Arrived
+		c.unread = c.ArrivedAt
 	}
 	if len(unread) > 0 {
 		c.In.Write(unread)
-		ln.loop.Later(c)
+		ln.loop.ScheduleReceive(c)
 		c.arrived()
 	}
 	return c
 }
 
-// Copy is a descriptor of the socket for another process.
-func (ln *Listener) Copy() (int, error) {
+// DupDescriptor is a descriptor of the socket for another process.
+func (ln *Listener) DupDescriptor() (int, error) {
 	return unix.FcntlInt(uintptr(ln.fd), unix.F_DUPFD_CLOEXEC, 0)
 }
 
-// Suspend leaves the queue to another process that has the socket too, or takes it up again.
-func (ln *Listener) Suspend(on bool) {
+// SetSuspended leaves the queue to another process that has the socket too, or takes it up again.
+func (ln *Listener) SetSuspended(on bool) {
 	switch {
 	case ln.suspended == on:
 	case on:
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -36,10 +36,10 @@
 	resendAfter   = 2.0    // ms until messages that the other process has no room for are tried again: it reads in each round
 	acceptPause   = 5.0    // ms until it is tried again to accept, where no connection was idle: a busy one takes as long
 
-	SpareFiles    = 32    // descriptors of the runtime, the log, operators' calls and an upgrade: about 25, and room
-	silentGrace   = 10.0  // ms that a caller of a listener's reserve has to begin its call: a few rounds, or a thousand silent ones would keep others out
-	unprovenFor   = 100.0 // ms that a new client has for its first command before it makes room: many round trips
-	unprovenShare = 4     // one in so many sockets may be a new client's without one: usual ones hold a third in all
+	ReservedDescriptors = 32    // descriptors of the runtime, the log, operators' calls and an upgrade: about 25, and room
+	silentGrace         = 10.0  // ms that a caller of a listener's reserve has to begin its call: a few rounds, or a thousand silent ones would keep others out
+	unprovenFor         = 100.0 // ms that a new client has for its first command before it makes room: many round trips
+	unprovenShare       = 4     // one in so many sockets may be a new client's without one: usual ones hold a third in all
 
 	dialShare   = 8        // one in so many sockets is kept for connections that this side opens: some a host
 	kernelShare = 0.2      // part of the memory that the kernel's buffers of all sockets may take
@@ -48,9 +48,9 @@
 
 // Loop is one loop over the sockets of the program. All its methods but Ring are the loop's own thread's.
 type Loop struct {
-	Log   *slog.Logger
-	Pool  *Pool
-	Round func(now float64) // called first in each round, before anything is handed over
+	Log          *slog.Logger
+	Pool         *Pool
+	OnRoundStart func(now float64) // called first in each round, before anything is handed over
 
 	epoll, bell  int
 	most         int // sockets that may be open
@@ -79,8 +79,8 @@
 
 // NewLoop makes a loop for so many descriptors at the most, in so many bytes of memory.
 func NewLoop(descriptors, memory int, log *slog.Logger) (*Loop, error) {
-	if descriptors < 2*SpareFiles {
-		return nil, fmt.Errorf("sockets: %d, want %d or more", descriptors, 2*SpareFiles)
+	if descriptors < 2*ReservedDescriptors {
+		return nil, fmt.Errorf("sockets: %d, want %d or more", descriptors, 2*ReservedDescriptors)
 	}
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{Log: log, Pool: &Pool{}, epoll: epoll, bell: bell, most: descriptors - SpareFiles}
+	l := &Loop{Log: log, Pool: &Pool{}, epoll: epoll, bell: bell, most: descriptors - ReservedDescriptors}
 	// The kernel takes twice what it is asked for, and each connection has two directions.
 	l.kernel = max(kernelLeast, int(kernelShare*float64(memory))/descriptors/4)
 	l.began, l.wall = time.Now(), float64(machine.Wall().UnixMicro())/1000
@@ -101,21 +101,21 @@
 }
 
 // tick reads the clock: the wall's time at the start, and steady from there.
-func (l *Loop) tick() { l.now = l.Clock() }
+func (l *Loop) tick() { l.now = l.ReadClock() }
 
 // Now is the time of this round, in Unix ms.
 func (l *Loop) Now() float64 { return l.now }
 
-// Clock reads the clock within a round: how long what came first in it has taken.
-func (l *Loop) Clock() float64 {
+// ReadClock reads the clock within a round: how long what came first in it has taken.
+func (l *Loop) ReadClock() float64 {
 	return l.wall + float64(time.Since(l.began).Nanoseconds())/1e6
 }
 
-// Heard is the earliest time at which what was read in this round can have come: where there was something to read as the
+// EarliestArrival is the earliest time at which what was read in this round can have come: where there was something to read as the
 // round began, it may have waited for the one before to end.
 //
 // A wait that a signal broke off says nothing of this process being late: the runtime sends itself such signals.
-func (l *Loop) Heard() float64 {
+func (l *Loop) EarliestArrival() float64 {
 	if l.idle {
 		return l.now
 	}
@@ -136,29 +136,29 @@
 }
 
 // Dial begins a connection when the round is carried out. A failure reaches the owner in the next round.
-func (l *Loop) Dial(kind string, a netip.AddrPort, owner Owner) *Conn {
-	c := &Conn{loop: l, kind: kind, peer: a, fd: -1, Owner: owner, Began: l.now, Used: l.now,
-		In: l.Pool.Chain(), Out: l.Pool.Chain()}
+func (l *Loop) Dial(kind string, a netip.AddrPort, owner ConnHandler) *Conn {
+	c := &Conn{loop: l, kind: kind, peer: a, fd: -1, Handler: owner, CreatedAt: l.now, LastUsed: l.now,
+		In: l.Pool.NewChain(), Out: l.Pool.NewChain()}
 	l.dialed = append(l.dialed, c)
 	return c
 }
 
-// Again lets the next round begin at once.
-func (l *Loop) Again() { l.again = true }
+// SkipWait lets the next round begin at once.
+func (l *Loop) SkipWait() { l.again = true }
 
-// Ring wakes the loop from another goroutine.
-func (l *Loop) Ring() {
+// Wake wakes the loop from another goroutine.
+func (l *Loop) Wake() {
 	unix.Write(l.bell, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-// End lets Run return after this round.
-func (l *Loop) End() { l.ended = true }
+// Quit lets Run return after this round.
+func (l *Loop) Quit() { l.ended = true }
 
 // Run serves until End.
 func (l *Loop) Run() error {
-	events := make([]unix.EpollEvent, max(eventsMost, l.most+SpareFiles)) // all that is ready belongs to one round
+	events := make([]unix.EpollEvent, max(eventsMost, l.most+ReservedDescriptors)) // all that is ready belongs to one round
 	for !l.ended {
-		looked, patience := l.Clock(), 0
+		looked, patience := l.ReadClock(), 0
 		n, err := unix.EpollWait(l.epoll, events, 0)
 		if l.waited = n == 0 && err == nil; l.waited {
 			patience = l.patience()
@@ -268,8 +268,8 @@
 
 // hand gives the owners what was gathered.
 func (l *Loop) hand() {
-	if l.Round != nil {
-		l.Round(l.now)
+	if l.OnRoundStart != nil {
+		l.OnRoundStart(l.now)
 	}
 	for _, c := range slices.Clone(l.channels) {
 		c.deliver()
@@ -284,8 +284,8 @@
 			c.tell()
 		}
 	}
-	l.slice = l.Clock() + sliceFor
-	for len(asking) > 0 && !l.Spent() {
+	l.slice = l.ReadClock() + sliceFor
+	for len(asking) > 0 && !l.ClientTimeExhausted() {
 		asking[0].tell()
 		asking = asking[1:]
 	}
@@ -293,18 +293,18 @@
 	l.fire()
 }
 
-// Spent tells whether what clients ask has had its time in this round. The rest waits for the next, first come first: short
+// ClientTimeExhausted tells whether what clients ask has had its time in this round. The rest waits for the next, first come first: short
 // rounds cost less, as what they touch is still at hand, and no answer waits long to be read.
-func (l *Loop) Spent() bool { return l.Clock() >= l.slice }
+func (l *Loop) ClientTimeExhausted() bool { return l.ReadClock() >= l.slice }
 
-// Waits is for how long what has not been handed over may have waited, at the most.
-func (l *Loop) Waits() float64 {
+// InputDelay is for how long what has not been handed over may have waited, at the most.
+func (l *Loop) InputDelay() float64 {
 	for _, c := range l.ready {
 		if c.fromClient() && c.fresh {
 			return l.now - c.heard
 		}
 	}
-	return l.now - l.Heard()
+	return l.now - l.EarliestArrival()
 }
 
 // carryOut closes, opens and writes.
@@ -354,12 +354,12 @@
 	case nil:
 		c.fd = fd
 		l.adopt(c)
-		if c.Wrote != nil {
-			c.Wrote()
+		if c.AfterWrite != nil {
+			c.AfterWrite()
 		}
 	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
 		c.broke(OutOfSockets)
 	default:
-		c.broke(Refused)
+		c.broke(ConnectFailed)
 	}
 }
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -2,20 +2,20 @@
 
 import "golang.org/x/sys/unix"
 
-// Quiet tells whether the connection is open and nothing stands unread at its socket: what has come behind the last
+// IsQuiet tells whether the connection is open and nothing stands unread at its socket: what has come behind the last
 // answer, or its end, may not have been gathered yet.
-func (c *Conn) Quiet() bool {
+func (c *Conn) IsQuiet() bool {
 	if c.status != up || c.why != "" || c.fresh || c.In.Len() > 0 {
 		return false
 	}
-	if c.loop.Clock()-c.loop.now < quietFor { // this round has looked at all sockets
+	if c.loop.ReadClock()-c.loop.now < quietFor { // this round has looked at all sockets
 		return true
 	}
 	return c.nothingUnread()
 }
 
-// Unheard tells whether something has come, be it the end, that the owner has not been told yet.
-func (c *Conn) Unheard() bool {
+// HasPendingInput tells whether something has come, be it the end, that the owner has not been told yet.
+func (c *Conn) HasPendingInput() bool {
 	switch {
 	case c.paused: // what comes on it is not to be heard yet
 		return false
@@ -25,8 +25,8 @@
 	return !c.nothingUnread()
 }
 
-// AtEnd tells whether nothing more will come: the other side has ended the connection, and all it said is taken.
-func (c *Conn) AtEnd() bool {
+// IsAtEOF tells whether nothing more will come: the other side has ended the connection, and all it said is taken.
+func (c *Conn) IsAtEOF() bool {
 	n, err := c.peek()
 	return c.In.Len() == 0 && (c.why != "" || n == 0 && err == nil)
 }
@@ -56,11 +56,11 @@
 	return err == unix.EAGAIN
 }
 
-// Paused tells whether nothing is read for now.
-func (c *Conn) Paused() bool { return c.paused }
+// IsPaused tells whether nothing is read for now.
+func (c *Conn) IsPaused() bool { return c.paused }
 
-// Pause stops reading, or starts it again. What comes meanwhile may have come from the pause on.
-func (c *Conn) Pause(on bool) {
+// SetPaused stops reading, or starts it again. What comes meanwhile may have come from the pause on.
+func (c *Conn) SetPaused(on bool) {
 	if c.paused == on || c.status != up {
 		return
 	}
@@ -91,13 +91,13 @@
 	}
 	c.unreadSince(c.loop.least())
 	if c.first == 0 {
-		c.first = c.loop.Heard()
+		c.first = c.loop.EarliestArrival()
 	}
 	if waits {
 		return
 	}
 	if !c.fresh {
-		c.Arrived, c.heard = c.unread, c.first
+		c.ArrivedAt, c.heard = c.unread, c.first
 	}
 	c.unread, c.first = 0, 0
 	for got := 0; got < readMost; {
@@ -137,19 +137,19 @@
 	case c.news && c.fresh:
 		return true
 	}
-	return c.status == up && c.loop.Pool.Full()
+	return c.status == up && c.loop.Pool.IsFull()
 }
 
-// Later has the owner look in the next round at what stands in In.
-func (l *Loop) Later(c *Conn) {
+// ScheduleReceive has the owner look in the next round at what stands in In.
+func (l *Loop) ScheduleReceive(c *Conn) {
 	if !c.fresh {
 		c.heard = l.now
 	}
-	l.Rest(c)
+	l.DeferReceive(c)
 }
 
-// Rest does the same for what the owner had no time for in this round: it waits on.
-func (l *Loop) Rest(c *Conn) {
+// DeferReceive does the same for what the owner had no time for in this round: it waits on.
+func (l *Loop) DeferReceive(c *Conn) {
 	if c.status == up {
 		c.fresh = true
 		c.noted()
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -8,21 +8,21 @@
 	var oldest, unproven *Conn
 	n := 0
 	for _, c := range l.conns {
-		if c == nil || c.status != up && c.status != halfClosing || c.why != "" || c.fresh || c.Use == nil || c.reserved() {
+		if c == nil || c.status != up && c.status != halfClosing || c.why != "" || c.fresh || c.EvictionClass == nil || c.reserved() {
 			continue
 		}
-		switch c.Use() {
+		switch c.EvictionClass() {
 		case Idle:
-			if oldest == nil || c.Used < oldest.Used {
+			if oldest == nil || c.LastUsed < oldest.LastUsed {
 				oldest = c
 			}
 		case Unproven:
-			if n++; unproven == nil || c.Began < unproven.Began {
+			if n++; unproven == nil || c.CreatedAt < unproven.CreatedAt {
 				unproven = c
 			}
 		}
 	}
-	if unproven != nil && (l.now-unproven.Began > unprovenFor || n > l.most/unprovenShare || oldest == nil) {
+	if unproven != nil && (l.now-unproven.CreatedAt > unprovenFor || n > l.most/unprovenShare || oldest == nil) {
 		oldest = unproven
 	}
 	if oldest == nil {
@@ -39,18 +39,18 @@
 
 // shed closes a connection at once: many may be accepted in a round.
 func (l *Loop) shed(c *Conn) {
-	c.Owner.Ended(c, Shed)
-	c.Close(Shed)
+	c.Handler.Ended(c, Evicted)
+	c.Close(Evicted)
 	l.drop(c)
 }
 
-// Unsent tells whether a connection that is to end has still something to send.
-func (l *Loop) Unsent() bool {
+// HasUnsent tells whether a connection that is to end has still something to send.
+func (l *Loop) HasUnsent() bool {
 	return slices.ContainsFunc(l.conns, func(c *Conn) bool { return c != nil && c.status == halfClosing && c.Out.Len() > 0 })
 }
 
-// Most sets how many sockets may be open, beside the spare ones; what is open stays.
-func (l *Loop) Most(sockets int) { l.most = sockets }
+// SetMaxSockets sets how many sockets may be open, beside the spare ones; what is open stays.
+func (l *Loop) SetMaxSockets(sockets int) { l.most = sockets }
 
-// Sockets is how many are open, and how many may be.
-func (l *Loop) Sockets() (open, most int) { return l.open, l.most }
+// SocketUsage is how many are open, and how many may be.
+func (l *Loop) SocketUsage() (open, most int) { return l.open, l.most }
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -8,11 +8,11 @@
 	timerqueue.Timer
 }
 
-// Set lets t fire after that many ms; an earlier setting of t is void.
-func (l *Loop) Set(t *Timer, after float64) { l.timers.Set(t, l.now+max(after, 0)) }
+// SetTimer lets t fire after that many ms; an earlier setting of t is void.
+func (l *Loop) SetTimer(t *Timer, after float64) { l.timers.Set(t, l.now+max(after, 0)) }
 
-// Stop voids the setting of t, if there is one.
-func (l *Loop) Stop(t *Timer) { l.timers.Stop(t) }
+// StopTimer voids the setting of t, if there is one.
+func (l *Loop) StopTimer(t *Timer) { l.timers.Stop(t) }
 
 // fire calls back the timers that are due. One set meanwhile waits for the next round.
 func (l *Loop) fire() {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,14 +18,14 @@
 }
 
 func (e *echo) Received(c *Conn) {
-	line, whole := c.In.Line()
+	line, whole := c.In.ReadLine()
 	if !whole {
 		return
 	}
 	e.note("received %q", line)
 	c.Out.WriteString(line + "\n")
 	if line == "bye" {
-		c.HalfClose(Stopping)
+		c.HalfClose(ShuttingDown)
 		return
 	}
 	c.Flush()
@@ -44,19 +44,19 @@
 	at := unusedAddress()
 	var notes []string
 	e := &echo{loop: l, note: func(form string, args ...any) { notes = append(notes, fmt.Sprintf(form, args...)) }}
-	if _, err := l.Listen("client", at, 0, func(c *Conn) { c.Owner, c.Use = e, func() Use { return Idle } }); err != nil {
+	if _, err := l.Listen("client", at, 0, func(c *Conn) { c.Handler, c.EvictionClass = e, func() EvictionClass { return Idle } }); err != nil {
 		panic(err)
 	}
 	stop, done := make(chan bool, 1), make(chan bool)
-	l.Again()
-	l.Round = func(float64) {
+	l.SkipWait()
+	l.OnRoundStart = func(float64) {
 		if first != nil {
 			first(l, at)
 			first = nil
 		}
 		select {
 		case <-stop:
-			l.End()
+			l.Quit()
 		default:
 		}
 	}
@@ -68,7 +68,7 @@
 	}()
 	return at, func() string {
 		stop <- true
-		l.Ring()
+		l.Wake()
 		<-done
 		for _, m := range regexp.MustCompile(`reason=(\S+) kind=(\w+)`).FindAllStringSubmatch(log.String(), -1) {
 			notes = append(notes, "log "+m[1]+" "+m[2])
@@ -139,16 +139,16 @@
 
 func (r *reader) Received(c *Conn) {
 	c.In.Free()
-	r.quiet <- c.Quiet()
+	r.quiet <- c.IsQuiet()
 	(<-r.other).Write([]byte("more"))
 	time.Sleep(20 * time.Millisecond)
-	r.quiet <- c.Quiet()
-	c.Close(Unquiet)
+	r.quiet <- c.IsQuiet()
+	c.Close(UnexpectedInput)
 }
 func (r *reader) Ended(*Conn, Reason) {}
 
 // Noise behind an answer is seen before a connection is used again, also where it has not been gathered yet.
-func ExampleConn_Quiet() {
+func ExampleConn_IsQuiet() {
 	listener, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer listener.Close()
 	r := &reader{make(chan net.Conn, 1), make(chan bool, 2)}
@@ -167,17 +167,17 @@
 
 // Timers fire in the order of their times, those of one time in the order in which they were set, and one that is
 // set again or stopped does not fire for what it was set to before.
-func ExampleLoop_Set() {
+func ExampleLoop_SetTimer() {
 	l, _ := NewLoop(256, 64<<20, slog.New(slog.DiscardHandler))
 	var all [5]Timer
 	for i := range all {
 		all[i].Fire = func() { fmt.Println("timer", i) }
 	}
 	for i, after := range []float64{30, 10, 10, 20, 5} {
-		l.Set(&all[i], after)
+		l.SetTimer(&all[i], after)
 	}
-	l.Stop(&all[4])
-	l.Set(&all[3], 40)
+	l.StopTimer(&all[4])
+	l.SetTimer(&all[3], 40)
 	for range 4 {
 		l.now += 10
 		fmt.Println("round")
