--- a/balance/blame_test.go
+++ b/balance/blame_test.go
@@ -6,34 +6,34 @@
 // given up, and neither rests. So ops that any host fails, whatever they share, shut out no host and narrow no gate. Once
 // second hosts have agreed for a while the first one's word is enough, for all but one in ten; and when a host begins to
 // fail of itself meanwhile, these soon tell.
-func Example_errorsOfOps() {
-	x := open(start(), "a", "b", "c", "d")
+func Example_hostsNotBlamedForBadOps() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
 	before := x.fleetLimiter.limit
-	x.ask("bad", 0, "page", 500, false)
-	x.end("bad", Failed, 1)
-	x.end("bad", Failed, 1)
+	x.sendOp("bad", 0, "page", 500, false)
+	x.finish("bad", Failed, 1)
+	x.finish("bad", Failed, 1)
 	x.silent = true
 	pushes := 0
 	for i := range 40 {
 		name := fmt.Sprint("bad", i)
-		for p := at(x.ask(name, 0, name, 500, false)); p != nil; p = at(p.Op) {
+		for p := pendingPush(x.sendOp(name, 0, name, 500, false)); p != nil; p = pendingPush(p.Op) {
 			pushes++
-			x.over(p, Failed, 1)
+			x.finishPush(p, Failed, 1)
 		}
-		x.after(5)
+		x.advance(5)
 	}
 	_, avoided := x.HostCounts()
 	fmt.Println("avoided:", avoided, "gate narrowed:", x.fleetLimiter.limit < before, "pushes of 40 such ops:", pushes)
 	lost := 0
 	for i := 0; avoided == 0; i++ {
-		op := x.ask(fmt.Sprint("good", i), 0, "page", 500, false)
-		for p := at(op); p != nil; p = at(op) {
-			x.over(p, map[bool]Outcome{true: Failed, false: Served}[p.Host.Name == "c"], 1)
+		op := x.sendOp(fmt.Sprint("good", i), 0, "page", 500, false)
+		for p := pendingPush(op); p != nil; p = pendingPush(op) {
+			x.finishPush(p, map[bool]Outcome{true: Failed, false: Served}[p.Host.Name == "c"], 1)
 		}
 		if !op.acked {
 			lost++
 		}
-		x.after(5)
+		x.advance(5)
 		_, avoided = x.HostCounts()
 	}
 	fmt.Println("avoided:", avoided, "ops given up before:", lost)
@@ -46,21 +46,21 @@
 }
 
 // Most hosts lose a third of their answers, each by a reset. Those serve on, and one that loses all is shut out.
-func Example_lostAnswers() {
-	x := open(start(), "a", "b", "c", "d", "e", "f")
+func Example_commonResetsExcludeOnlyWorstHost() {
+	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
 	x.silent = true
 	n, all := 0, 0.0
 	for range 2000 {
 		n++
 		name := fmt.Sprint("op", n)
-		for p := at(x.ask(name, 0, name, 500, false)); p != nil; p = at(p.Op) {
+		for p := pendingPush(x.sendOp(name, 0, name, 500, false)); p != nil; p = pendingPush(p.Op) {
 			if p.Host.Name == "f" || p.Host.Name != "a" && n%3 == 0 {
-				x.over(p, ConnBroken, 5)
+				x.finishPush(p, ConnBroken, 5)
 				continue
 			}
-			x.over(p, Served, 5)
+			x.finishPush(p, Served, 5)
 		}
-		x.after(5)
+		x.advance(5)
 		_, avoided := x.HostCounts()
 		all += float64(avoided)
 	}
@@ -71,31 +71,31 @@
 
 // When a host in use goes down, what balancers had out there together may be why: for a minute the bound
 // has no floor of two.
-func Example_carefulAfterFall() {
-	x := open(start(), "a", "b", "c", "d", "e", "f", "g", "h")
+func Example_boundWithoutFloorAfterHostDown() {
+	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f", "g", "h")
 	spread := func() int {
 		x.pushes = map[string]int{}
 		for i := range 3 {
-			x.ask(fmt.Sprint("op", i), 0, "page", 500, false)
+			x.sendOp(fmt.Sprint("op", i), 0, "page", 500, false)
 		}
 		hosts := len(x.pushes)
 		for i := range 3 {
-			x.end(fmt.Sprint("op", i), Served, 10)
+			x.finish(fmt.Sprint("op", i), Served, 10)
 		}
 		return hosts
 	}
 	x.silent = true
-	x.after(10)
+	x.advance(10)
 	fmt.Println("hosts of three ops:", spread())
-	h := x.ask("fallen", 0, "page", 500, false).pushes[0].Host
-	x.end("fallen", ConnectFailed, 1) // it answered a moment ago
-	x.end("fallen", Served, 1)
-	x.after(1000)
+	h := x.sendOp("fallen", 0, "page", 500, false).pushes[0].Host
+	x.finish("fallen", ConnectFailed, 1) // it answered a moment ago
+	x.finish("fallen", Served, 1)
+	x.advance(1000)
 	fmt.Println("after a fall:", spread())
-	x.after(62000)
+	x.advance(62000)
 	fmt.Println("a minute later:", spread())
-	x.tell(h.Name, Ready, x.t) // a new process of it
-	x.after(6000)
+	x.updateHost(h.Name, Ready, x.t) // a new process of it
+	x.advance(6000)
 	fmt.Println("after a restart that the list tells:", spread())
 	// Output:
 	// hosts of three ops: 2
@@ -106,42 +106,42 @@
 
 // One key's answers never come through while its hosts serve others. It gets one place, and what finds none is nacked at
 // once; others are pushed as ever. Once its answers come in time again it is free.
-func Example_strand() {
-	s := start()
+func Example_stuckKeyLimitedToOnePush() {
+	s := testConfig()
 	s.ReplySlots = 10
-	x := open(s, "a", "b", "c", "d")
+	x := newHarness(s, "a", "b", "c", "d")
 	n := 0
 	round := func(stuck bool) {
 		n++
-		x.ask("stuck", 0, "page", 500, false)
+		x.sendOp("stuck", 0, "page", 500, false)
 		for i := range 8 {
-			x.ask(fmt.Sprint("op", i), 0, fmt.Sprint("leaf", n, i), 500, false)
+			x.sendOp(fmt.Sprint("op", i), 0, fmt.Sprint("leaf", n, i), 500, false)
 		}
 		for i := range 8 {
-			x.after(3)
-			x.end(fmt.Sprint("op", i), Served, float64(3*i+3))
+			x.advance(3)
+			x.finish(fmt.Sprint("op", i), Served, float64(3*i+3))
 		}
 		if !stuck {
-			x.end("stuck", Served, 24)
+			x.finish("stuck", Served, 24)
 		}
-		x.after(100)
+		x.advance(100)
 	}
 	x.silent = true
 	for range 60 {
 		round(true)
 	}
 	x.silent = false
-	x.ask("one", 0, "page", 500, false)
-	x.ask("two", 0, "page", 500, false)
-	x.ask("other", 0, "leaf", 500, false)
+	x.sendOp("one", 0, "page", 500, false)
+	x.sendOp("two", 0, "page", 500, false)
+	x.sendOp("other", 0, "leaf", 500, false)
 	x.silent = true
-	x.end("one", Served, 10)
+	x.finish("one", Served, 10)
 	for range 30 {
 		round(false)
 	}
 	x.silent = false
-	x.ask("three", 0, "page", 500, false)
-	x.ask("four", 0, "page", 500, false)
+	x.sendOp("three", 0, "page", 500, false)
+	x.sendOp("four", 0, "page", 500, false)
 	// Output:
 	// 7440 push one to d
 	// 7440 nack two
@@ -151,14 +151,14 @@
 }
 
 // A slow fetch is not called off: the one origin is at work on it all the same, and would only be asked again.
-func Example_slowFetch() {
-	s := start()
+func Example_slowFetchNotCancelled() {
+	s := testConfig()
 	s.CacheAside = true
-	x := open(s, "a", "b", "origin")
-	x.ask("op", 0, "page", 500, false)
-	x.end("op", CacheMiss, 1)
-	x.after(400)
-	x.end("op", Served, 400)
+	x := newHarness(s, "a", "b", "origin")
+	x.sendOp("op", 0, "page", 500, false)
+	x.finish("op", CacheMiss, 1)
+	x.advance(400)
+	x.finish("op", Served, 400)
 	// Output:
 	// 0 push op to a
 	//    0 push op to origin
--- a/balance/connections_test.go
+++ b/balance/connections_test.go
@@ -6,20 +6,20 @@
 
 // A host takes so many connections. When one cannot be made, idle ones are given back sooner, so that others
 // find room; with room they are kept again.
-func Example_idleConnections() {
-	x := open(start(), "a", "b", "c")
+func Example_connectFailuresShortenIdleTimeout() {
+	x := newHarness(testConfig(), "a", "b", "c")
 	x.silent = true
 	for range 60 {
-		x.after(4000)
-		x.ask("full", 0, "page", 500, false)
-		x.end("full", ConnectFailed, 5)
-		x.end("full", Served, 5)
+		x.advance(4000)
+		x.sendOp("full", 0, "page", 500, false)
+		x.finish("full", ConnectFailed, 5)
+		x.finish("full", Served, 5)
 	}
 	fmt.Printf("60 failed connects: idle ones are kept %.0f ms\n", x.idleTimeout)
 	for i := range 40 {
-		x.ask("op", 0, fmt.Sprint("key", i), 500, false)
-		x.end("op", Served, 5)
-		x.after(400)
+		x.sendOp("op", 0, fmt.Sprint("key", i), 500, false)
+		x.finish("op", Served, 5)
+		x.advance(400)
 	}
 	fmt.Printf("with room again: %.0f ms\n", x.idleTimeout)
 	// Output:
@@ -30,18 +30,18 @@
 // A host whose table of connections is full is passed over for a while by what would need a new one there, and is not blamed;
 // an op that it turned away goes to the next. With 300 balancers and room for 23 each op was turned away at host after host,
 // and was the origin's once two had done so.
-func Example_fullTable() {
-	x := open(start(), "a", "b", "c")
-	x.ask("first", 0, "page", 500, false)
-	x.end("first", ConnLimited, 2)
-	x.end("first", Served, 10)
-	x.ask("next", 0, "page", 500, false)
-	x.end("next", Served, 10)
+func Example_fullConnectionTableNotBlamed() {
+	x := newHarness(testConfig(), "a", "b", "c")
+	x.sendOp("first", 0, "page", 500, false)
+	x.finish("first", ConnLimited, 2)
+	x.finish("first", Served, 10)
+	x.sendOp("next", 0, "page", 500, false)
+	x.finish("next", Served, 10)
 	fmt.Println("suspect:", x.hosts["a"].failRate+x.hosts["b"].failRate+x.hosts["c"].failRate > 0)
-	x.after(1600)
-	x.ask("later", 0, "page", 500, false)
-	x.end("later", Served, 10) // with that a connection to it is open
-	x.ask("last", 0, "page", 500, false)
+	x.advance(1600)
+	x.sendOp("later", 0, "page", 500, false)
+	x.finish("later", Served, 10) // with that a connection to it is open
+	x.sendOp("last", 0, "page", 500, false)
 	// Output:
 	//    0 push first to c
 	//    0 push first to a
@@ -55,14 +55,14 @@
 }
 
 // Where every table is full an op still tries, for places come free.
-func Example_allTablesFull() {
-	x := open(start(), "a", "b")
+func Example_pushDespiteFullConnectionTables() {
+	x := newHarness(testConfig(), "a", "b")
 	for _, name := range []string{"one", "two"} {
-		x.ask(name, 0, "page", 500, false)
-		x.end(name, ConnLimited, 2)
-		x.end(name, ConnLimited, 2)
+		x.sendOp(name, 0, "page", 500, false)
+		x.finish(name, ConnLimited, 2)
+		x.finish(name, ConnLimited, 2)
 	}
-	x.end("two", Served, 10)
+	x.finish("two", Served, 10)
 	// Output:
 	//    0 push one to a
 	//    0 push one to b
--- a/balance/decisions_test.go
+++ b/balance/decisions_test.go
@@ -8,37 +8,39 @@
 	"math/rand/v2"
 )
 
-// play is a drawn day: ops, lists and troubles as its seed has them. Every action of the balancer goes into a digest, so that a
+// randomRun is a drawn day: ops, lists and troubles as its seed has them. Every action of the balancer goes into a digest, so that a
 // change that is to move code alone can be seen to change no decision. A commit that changes one says which, and puts the new
 // digests here.
-type play struct {
+type randomRun struct {
 	*Balancer
 	rng   *rand.Rand
 	t     float64
 	wake  float64
 	hosts []*Host
 	open  []*Op
-	due   []happening
+	due   []scheduledEvent
 	hash  io.Writer
 	count map[string]int
 }
 
-// happening is what is to happen at a time.
-type happening struct {
+// scheduledEvent is what is to happen at a time.
+type scheduledEvent struct {
 	at float64
 	do func()
 }
 
-func (d *play) note(form string, args ...any) {
+func (d *randomRun) record(form string, args ...any) {
 	fmt.Fprintf(d.hash, "%.3f "+form+"\n", append([]any{d.t}, args...)...)
 	d.count[form]++
 }
 
-func (d *play) later(after float64, do func()) { d.due = append(d.due, happening{d.t + after, do}) }
+func (d *randomRun) scheduleEvent(after float64, do func()) {
+	d.due = append(d.due, scheduledEvent{d.t + after, do})
+}
 
 // Push implements Port, as do the methods below. What comes of a push is drawn as it is sent.
-func (d *play) Push(p *Push, limit float64) {
-	d.note("push %v to %s, %.3f, %.3f", p.Op.Ref, p.Host.Name, limit, p.SendBy)
+func (d *randomRun) Push(p *Push, limit float64) {
+	d.record("push %v to %s, %.3f, %.3f", p.Op.Ref, p.Host.Name, limit, p.SendBy)
 	x, spent := d.rng.Float64(), 2+d.rng.ExpFloat64()*15
 	o := Served
 	switch bad := p.Host.Size > 1.5; { // large hosts are the bad ones of the day
@@ -54,13 +56,13 @@
 	if spent > limit {
 		o, spent = TimedOut, limit
 	}
-	d.later(spent, func() {
+	d.scheduleEvent(spent, func() {
 		if p.ended || p.cancelled {
 			return
 		}
 		if o == Served && d.rng.Float64() < 0.02 {
 			d.StreamingStarted(p)
-			d.later(20, func() { d.PushEnded(p, Served, spent, true, nil) })
+			d.scheduleEvent(20, func() { d.PushEnded(p, Served, spent, true, nil) })
 			return
 		}
 		var r *LoadReport
@@ -71,31 +73,31 @@
 	})
 }
 
-func (d *play) Cancel(p *Push) {
-	d.note("cancel %v", p.Op.Ref)
-	d.later(0, func() {
+func (d *randomRun) Cancel(p *Push) {
+	d.record("cancel %v", p.Op.Ref)
+	d.scheduleEvent(0, func() {
 		if !p.ended {
 			d.PushEnded(p, Cancelled, d.t-p.sentAt, p.Op.state == stateSettled, nil)
 		}
 	})
 }
-func (d *play) Nack(op *Op, backoff float64) { d.note("nack %v, %.3f", op.Ref, backoff) }
-func (d *play) DeadLetter(op *Op)            { d.note("dead-letter %v", op.Ref) }
-func (d *play) SetTimer(after float64)       { d.wake = d.t + after }
-func (d *play) CloseIdleConns(h *Host)       { d.note("hang up %s", h.Name) }
-func (d *play) SubscribeHostList() {
-	d.note("watch")
-	d.later(d.rng.Float64()*300, func() {
+func (d *randomRun) Nack(op *Op, backoff float64) { d.record("nack %v, %.3f", op.Ref, backoff) }
+func (d *randomRun) DeadLetter(op *Op)            { d.record("dead-letter %v", op.Ref) }
+func (d *randomRun) SetTimer(after float64)       { d.wake = d.t + after }
+func (d *randomRun) CloseIdleConns(h *Host)       { d.record("hang up %s", h.Name) }
+func (d *randomRun) SubscribeHostList() {
+	d.record("watch")
+	d.scheduleEvent(d.rng.Float64()*300, func() {
 		if d.rng.Float64() < 0.3 {
 			d.HostListFailed()
 			return
 		}
-		d.list(true)
+		d.sendList(true)
 	})
 }
 
-// list tells of all hosts, or of one that has changed.
-func (d *play) list(whole bool) {
+// sendList tells of all hosts, or of one that has changed.
+func (d *randomRun) sendList(whole bool) {
 	var entries []HostEntry
 	for i, h := range d.hosts {
 		l := Listing{Zone: i % 2, Cell: i % 3, Size: 1, UpSince: h.UpSince, Status: h.Status}
@@ -120,10 +122,10 @@
 	d.HostsListed(entries, whole, false)
 }
 
-// digest plays a day and tells what came of it.
-func digest(s Config, seed uint64, change func(d *play, ms int)) string {
+// decisionDigest plays a day and tells what came of it.
+func decisionDigest(s Config, seed uint64, change func(d *randomRun, ms int)) string {
 	hash := fnv.New64a()
-	d := &play{rng: rand.New(rand.NewPCG(seed, 7)), hash: hash, count: map[string]int{}, wake: math.Inf(1)}
+	d := &randomRun{rng: rand.New(rand.NewPCG(seed, 7)), hash: hash, count: map[string]int{}, wake: math.Inf(1)}
 	for i := range 10 {
 		d.hosts = append(d.hosts, &Host{Name: fmt.Sprint("host", i)})
 	}
@@ -144,7 +146,7 @@
 			i++
 		}
 		if ms%400 == 399 {
-			d.list(false)
+			d.sendList(false)
 		}
 		if change != nil {
 			change(d, ms)
@@ -161,7 +163,7 @@
 				d.OpArrived(op)
 			}
 			if d.rng.Float64() < 0.05 {
-				d.later(d.rng.Float64()*100, func() {
+				d.scheduleEvent(d.rng.Float64()*100, func() {
 					if op.state != stateSettled {
 						d.ClientLeft(op)
 					}
@@ -179,23 +181,23 @@
 	return fmt.Sprintf("%016x of %d actions", hash.Sum64(), n)
 }
 
-func Example_decisions() {
-	aside := start()
+func Example_decisionDigests() {
+	aside := testConfig()
 	aside.CacheAside = true
-	fmt.Println("fetched beside:", digest(aside, 1, nil))
+	fmt.Println("fetched beside:", decisionDigest(aside, 1, nil))
 
-	twice := start()
+	twice := testConfig()
 	twice.AllowHedging, twice.ZoneCount, twice.CrossZoneCost, twice.FetchCost, twice.BenefitPerWork = true, 2, 0.1, 0.05, true
-	fmt.Println("second copies and zones:", digest(twice, 2, nil))
+	fmt.Println("second copies and zones:", decisionDigest(twice, 2, nil))
 
-	shared := start()
+	shared := testConfig()
 	shared.Tenants = []*Tenant{{Quota: 100}, {Quota: 20}, {Quota: 5}}
 	shared.Categories[0].Ordered, shared.KeyQuietTime, shared.ReplySlots, shared.GroupSize = true, 50, 20, 30
-	fmt.Println("tenants, order, many balancers:", digest(shared, 3, nil))
+	fmt.Println("tenants, order, many balancers:", decisionDigest(shared, 3, nil))
 
-	stood := start()
+	stood := testConfig()
 	stood.CacheAside, stood.AllowCancel, stood.DeadlineSkew, stood.UpSinceSkew = true, false, 30, 100
-	fmt.Println("bans, stalls, an heir:", digest(stood, 4, func(d *play, ms int) {
+	fmt.Println("bans, stalls, an heir:", decisionDigest(stood, 4, func(d *randomRun, ms int) {
 		switch ms {
 		case 2000:
 			d.SetBanned(d.hosts[3], true)
--- a/balance/fairness_test.go
+++ b/balance/fairness_test.go
@@ -5,16 +5,16 @@
 )
 
 // Under overload a tenant beyond its share gives way to one within it.
-func Example_tenants() {
-	s := start()
+func Example_overloadPrefersTenantWithinShare() {
+	s := testConfig()
 	big, small := &Tenant{Quota: 20}, &Tenant{Quota: 20}
 	s.Tenants = []*Tenant{big, small}
-	x := open(s, "a")
+	x := newHarness(s, "a")
 	x.silent = true
 	served := map[*Tenant]int{}
 	var outs []*Op
 	for i := range 600 {
-		x.after(5)
+		x.advance(5)
 		t := big
 		if i%10 == 0 {
 			t = small
@@ -28,7 +28,7 @@
 			outs = outs[1:]
 		}
 		if len(outs) > 0 {
-			x.PushEnded(at(outs[0]), Served, x.t-at(outs[0]).sentAt, true, nil)
+			x.PushEnded(pendingPush(outs[0]), Served, x.t-pendingPush(outs[0]).sentAt, true, nil)
 			served[outs[0].Tenant]++
 		}
 	}
@@ -39,12 +39,12 @@
 
 // A tenant's share is reckoned from what this balancer gets acked: with a part of 1/100 of the quota one that carries far more
 // than its fellows once took all tenants for greedy. One that sends three times what the other does is found out in time.
-func Example_tenantOfMany() {
-	s := start()
+func Example_heavyTenantDetectedInLargeGroup() {
+	s := testConfig()
 	s.GroupSize = 100
 	fair, heavy := &Tenant{Quota: 100}, &Tenant{Quota: 100}
 	s.Tenants = []*Tenant{fair, heavy}
-	x := open(s, "a", "b")
+	x := newHarness(s, "a", "b")
 	x.silent = true
 	within := map[*Tenant]int{}
 	ask := func(t *Tenant) {
@@ -52,12 +52,12 @@
 		if x.OpArrived(op); op.priority >= 1/op.Category.avgLatency {
 			within[t]++
 		}
-		if p := at(op); p != nil {
+		if p := pendingPush(op); p != nil {
 			x.PushEnded(p, Served, 5, true, nil)
 		}
 	}
 	for range 10 {
-		x.after(3000)
+		x.advance(3000)
 		for range 3 {
 			ask(fair)
 		}
@@ -72,15 +72,15 @@
 
 // An op counts for its tenant's share once it is acked. Of two within theirs the tenant further behind comes first: one that
 // sends three times its share would else have it all, for what is turned away of its ops others of them replace.
-func Example_sharesByAckedOps() {
-	s := start()
+func Example_tenantShareCountsAckedOps() {
+	s := testConfig()
 	greedy, modest := &Tenant{Quota: 50}, &Tenant{Quota: 50}
 	s.Tenants = []*Tenant{greedy, modest}
-	x := open(s, "a")
+	x := newHarness(s, "a")
 	arrive := func(t *Tenant, o Outcome) *Op {
 		op := &Op{Category: x.Categories[0], Tenant: t, Deadline: x.t + 500}
 		x.OpArrived(op)
-		x.PushEnded(at(op), o, 5, true, nil)
+		x.PushEnded(pendingPush(op), o, 5, true, nil)
 		return op
 	}
 	x.silent = true
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-func aside() *scene {
-	s := start()
+func newOriginHarness() *harness {
+	s := testConfig()
 	s.CacheAside = true
-	return open(s, "a", "b", "c", "origin")
+	return newHarness(s, "a", "b", "c", "origin")
 }
 
 // One fetch a key is out. Other ops of the key wait for it and then go to the host that holds it.
-func Example_sharedFetch() {
-	x := aside()
-	x.ask("op0", 0, "page", 500, false)
-	x.end("op0", CacheMiss, 1)
-	x.ask("op1", 0, "page", 500, false)
-	x.ask("op2", 0, "page", 500, false)
-	x.end("op0", Served, 20)
-	x.end("op1", Served, 5)
+func Example_oneFetchPerKey() {
+	x := newOriginHarness()
+	x.sendOp("op0", 0, "page", 500, false)
+	x.finish("op0", CacheMiss, 1)
+	x.sendOp("op1", 0, "page", 500, false)
+	x.sendOp("op2", 0, "page", 500, false)
+	x.finish("op0", Served, 20)
+	x.finish("op1", Served, 5)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to origin
@@ -30,14 +30,14 @@
 }
 
 // When the op that leads a fetch goes away, the fetch passes to those that wait with all its benefit.
-func Example_fetchPassedOn() {
-	x := aside()
-	x.ask("op0", 0, "page", 500, false)
-	x.end("op0", CacheMiss, 1)
-	x.ask("op1", 0, "page", 500, false)
-	x.ask("op2", 0, "page", 500, false)
+func Example_fetchHandedOverWhenLeaderLeaves() {
+	x := newOriginHarness()
+	x.sendOp("op0", 0, "page", 500, false)
+	x.finish("op0", CacheMiss, 1)
+	x.sendOp("op1", 0, "page", 500, false)
+	x.sendOp("op2", 0, "page", 500, false)
 	x.ClientLeft(x.ops["op0"])
-	x.end("op1", Served, 20)
+	x.finish("op1", Served, 20)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to origin
@@ -48,12 +48,12 @@
 }
 
 // The last push is kept for the origin: an op that found two hosts full would otherwise miss and end.
-func Example_lastPushIsOrigins() {
-	x := aside()
-	x.ask("op0", 0, "page", 500, false)
-	x.end("op0", Overloaded, 1)
-	x.end("op0", Overloaded, 1)
-	x.end("op0", Served, 20)
+func Example_lastPushReservedForOrigin() {
+	x := newOriginHarness()
+	x.sendOp("op0", 0, "page", 500, false)
+	x.finish("op0", Overloaded, 1)
+	x.finish("op0", Overloaded, 1)
+	x.finish("op0", Served, 20)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to a
@@ -62,16 +62,16 @@
 }
 
 // A stopped origin holds up no hit, and its line is short: what can't be fetched in time is nacked.
-func Example_stoppedOrigin() {
-	x := aside()
+func Example_stalledOriginDelaysNoHit() {
+	x := newOriginHarness()
 	for i := range 60 {
 		x.silent = i < 58
 		name := fmt.Sprint("miss", i)
-		x.ask(name, 0, name, 500, false)
-		x.end(name, CacheMiss, 1)
+		x.sendOp(name, 0, name, 500, false)
+		x.finish(name, CacheMiss, 1)
 	}
-	x.ask("hit", 0, "page", 500, false)
-	x.end("hit", Served, 5)
+	x.sendOp("hit", 0, "page", 500, false)
+	x.finish("hit", Served, 5)
 	// Output:
 	// 0 push miss58 to a
 	//    0 nack miss58
@@ -83,25 +83,25 @@
 
 // A full origin that turns fetches away at once: 200 balancers with a miss each all the time let out few in
 // all, where one each would keep it full of fetches that come too late.
-func Example_fullOriginOfMany() {
-	s := start()
+func Example_manyBalancersBackOffFromFullOrigin() {
+	s := testConfig()
 	s.CacheAside = true
-	all := group(200, s, "a", "b", "c", "origin")
+	all := newHarnesses(200, s, "a", "b", "c", "origin")
 	outs := make([][]*Op, len(all))
 	for sec := range 3 {
 		fetches := 0
 		for t := range 50 {
 			for i, x := range all {
-				x.after(20)
+				x.advance(20)
 				x.pushes["origin"] = 0
 				name := fmt.Sprint(sec, t, i)
-				if op := x.ask(name, 0, name, 500, false); op.inFlight > 0 && !at(op).Host.IsOrigin {
-					x.end(name, CacheMiss, 1)
+				if op := x.sendOp(name, 0, name, 500, false); op.inFlight > 0 && !pendingPush(op).Host.IsOrigin {
+					x.finish(name, CacheMiss, 1)
 				}
 				outs[i] = slices.DeleteFunc(append(outs[i], x.ops[name]), (*Op).IsDone)
 				for _, op := range outs[i] {
-					if op.inFlight > 0 && at(op).Host.IsOrigin {
-						x.PushEnded(at(op), Overloaded, 1, false, nil)
+					if op.inFlight > 0 && pendingPush(op).Host.IsOrigin {
+						x.PushEnded(pendingPush(op), Overloaded, 1, false, nil)
 					}
 				}
 				fetches += x.pushes["origin"]
@@ -118,24 +118,24 @@
 // Fetches wait at a full origin until nobody waits for them, and it goes on with them for nothing. Where it has answered nobody
 // for a target the gate narrows by half, so that the origin can work off what stands there; where it answers others the op
 // may be a heavy one.
-func Example_standingOrigin() {
+func Example_originGateCutOnBacklog() {
 	for _, answers := range []bool{false, true} {
-		s := start()
+		s := testConfig()
 		s.CacheAside, s.GroupSize = true, 50
-		x := open(s, "a", "b", "origin")
+		x := newHarness(s, "a", "b", "origin")
 		x.silent = true
 		fetch := func(name string) {
-			x.ask(name, 0, name, 200, false)
-			x.end(name, CacheMiss, 1)
+			x.sendOp(name, 0, name, 200, false)
+			x.finish(name, CacheMiss, 1)
 		}
 		fmt.Print("answers others ", answers, ", limit")
 		for i := range 5 {
 			fetch(fmt.Sprint("stuck", i))
-			x.after(150)
+			x.advance(150)
 			if fetch(fmt.Sprint("other", i)); answers {
-				x.end(fmt.Sprint("other", i), Served, 10)
+				x.finish(fmt.Sprint("other", i), Served, 10)
 			}
-			x.after(250)
+			x.advance(250)
 			fmt.Printf(" %.2f", x.originLimiter.limit)
 		}
 		fmt.Println()
@@ -147,23 +147,23 @@
 
 // Past a gate that turns ops away by chance few fetches go out, and each tells more: once two came in time it opens by
 // doubling, where some twenty had to before.
-func Example_fullOriginIsWell() {
-	s := start()
+func Example_originGateReopensAfterOverload() {
+	s := testConfig()
 	s.CacheAside, s.GroupSize = true, 100
-	x := open(s, "a", "b", "origin")
+	x := newHarness(s, "a", "b", "origin")
 	x.silent = true
 	x.originLimiter.limit, x.originLimiter.congestion = 0.02, 2
 	fetches := 0
 	for i := 0; x.originLimiter.limit < 1; i++ {
 		x.originLimiter.lastOutcome = x.t // it does not open by itself
 		name := fmt.Sprint("op", i)
-		x.ask(name, 0, name, 200, false)
-		x.end(name, CacheMiss, 1)
-		if at(x.ops[name]) != nil {
-			x.end(name, Served, 10)
+		x.sendOp(name, 0, name, 200, false)
+		x.finish(name, CacheMiss, 1)
+		if pendingPush(x.ops[name]) != nil {
+			x.finish(name, Served, 10)
 			fetches++
 		}
-		x.after(1)
+		x.advance(1)
 	}
 	fmt.Println("open after", fetches, "timely fetches")
 	// Output:
@@ -172,16 +172,16 @@
 
 // Writes take longer than reads at the origin, and come on top of no miss. Judged by the goal of fetches, a usual write would
 // narrow the origin's gate with nothing wrong there; one that takes most of its target still does.
-func Example_writesAtOrigin() {
+func Example_originGateJudgesWritesByTarget() {
 	for _, took := range []float64{45, 90} {
-		s := start()
+		s := testConfig()
 		s.CacheAside = true
-		x := open(s, "a", "origin")
+		x := newHarness(s, "a", "origin")
 		x.silent = true
 		before := x.originLimiter.limit
 		for i := range 30 {
 			op := fmt.Sprint("op", i)
-			x.ask(op, 1, op, 500, true)
+			x.sendOp(op, 1, op, 500, true)
 			x.t += 200
 			x.Advance(x.t)
 			x.PushEnded(x.ops[op].pushes[0], Served, took, true, nil)
@@ -195,25 +195,25 @@
 
 // Most pushes miss where hosts are many and keys few; such an answer tells how quick a host is as a hit does. By hits alone
 // one slow host in ten had narrowed the gate of all to a push or two, and ops waited while hosts had nothing to do.
-func Example_missesAtGate() {
-	s := start()
+func Example_missesCountAsHostLatency() {
+	s := testConfig()
 	s.CacheAside, s.GroupSize = true, 20
 	names := []string{"origin"}
 	for i := range 20 {
 		names = append(names, fmt.Sprint("h", i))
 	}
-	x := open(s, names...)
+	x := newHarness(s, names...)
 	x.silent = true
 	for i := range 400 {
-		x.after(40)
+		x.advance(40)
 		name := fmt.Sprint("op", i)
-		x.ask(name, 0, name, 900, false)
+		x.sendOp(name, 0, name, 900, false)
 		if i%10 == 0 {
-			x.end(name, Served, 200)
+			x.finish(name, Served, 200)
 			continue
 		}
-		x.end(name, CacheMiss, 5)
-		x.end(name, Served, 10)
+		x.finish(name, CacheMiss, 5)
+		x.finish(name, Served, 10)
 	}
 	fmt.Println("narrowed:", x.fleetLimiter.limit < 8)
 	// Output:
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// twice lets two pushes of an op be out.
-func twice() *scene {
-	s := start()
+// newHedgeHarness lets two pushes of an op be out.
+func newHedgeHarness() *harness {
+	s := testConfig()
 	s.AllowHedging, s.MaxPushes = true, 4
-	return open(s, "a", "b", "c", "d")
+	return newHarness(s, "a", "b", "c", "d")
 }
 
 // A push that is out for long stays out, and a second copy goes to another host. The first good answer is the op's; the
 // other still teaches. What must not run twice has no copy, and neither has a deduplicated op whose group is one host's.
-func Example_copy() {
-	x := twice()
+func Example_hedgeSlowPush() {
+	x := newHedgeHarness()
 	for row, name := range []string{"read", "put", "once", "zoned"} {
-		x.ask(name, row, "page", 500, false)
+		x.sendOp(name, row, "page", 500, false)
 	}
-	x.after(101)
+	x.advance(101)
 	first, second := x.ops["read"].pushes[0], x.ops["read"].pushes[1]
-	x.over(second, Served, 1)
-	x.over(first, Served, 101)
+	x.finishPush(second, Served, 1)
+	x.finishPush(first, Served, 101)
 	fmt.Println("both over:", x.ops["read"].IsDone(), "learned:", second.Host.lastAnswer == x.t, first.Host.lastAnswer == x.t)
 	// Output:
 	// 0 push read to c
@@ -36,17 +36,17 @@
 }
 
 // Where all hosts are slow, copies stay a part of the ops.
-func Example_copiesOfSlowFleet() {
-	x := twice()
+func Example_hedgesCappedOnSlowFleet() {
+	x := newHedgeHarness()
 	x.silent = true
 	var outs []*Op
 	for i := range 400 {
-		x.after(5)
-		outs = append(outs, x.ask(fmt.Sprint("op", i), 0, fmt.Sprint("key", i), 900, false))
+		x.advance(5)
+		outs = append(outs, x.sendOp(fmt.Sprint("op", i), 0, fmt.Sprint("key", i), 900, false))
 		for _, op := range outs {
 			for _, p := range slices.Clone(op.pushes) {
 				if !p.ended && x.t-p.sentAt > 300 {
-					x.over(p, Served, x.t-p.sentAt)
+					x.finishPush(p, Served, x.t-p.sentAt)
 				}
 			}
 		}
@@ -63,23 +63,23 @@
 
 // The rules ask all pushes of an op. With one still out, a deduplicated op may be nacked inside its window and not after
 // it; the last push allowed has no copy; a host that began to drain gets none; a client with little time left is answered.
-func Example_rulesOfTwo() {
-	x := twice()
-	x.ask("in its window", 1, "page", 200, false)
-	x.ask("past it", 1, "atlas", 450, false)
-	x.after(450)
+func Example_repeatRulesCoverAllPushes() {
+	x := newHedgeHarness()
+	x.sendOp("in its window", 1, "page", 200, false)
+	x.sendOp("past it", 1, "atlas", 450, false)
+	x.advance(450)
 	fmt.Println()
-	s := start()
+	s := testConfig()
 	s.AllowHedging, s.MaxPushes = true, 1
-	x = open(s, "a", "b")
-	x.ask("last push", 0, "page", 200, false)
-	x.after(200)
+	x = newHarness(s, "a", "b")
+	x.sendOp("last push", 0, "page", 200, false)
+	x.advance(200)
 	fmt.Println()
-	x = open(func() Config { s.MaxPushes = 4; return s }(), "a", "b")
-	x.ask("drained", 0, "page", 150, false)
-	x.tell("a", Draining, 0)
-	x.tell("b", Draining, 0)
-	x.after(200)
+	x = newHarness(func() Config { s.MaxPushes = 4; return s }(), "a", "b")
+	x.sendOp("drained", 0, "page", 150, false)
+	x.updateHost("a", Draining, 0)
+	x.updateHost("b", Draining, 0)
+	x.advance(200)
 	// Output:
 	// 0 push in its window to c
 	//    0 push past it to b
@@ -103,19 +103,19 @@
 
 // A copy that misses is fetched from the origin while the first push is out; that one's miss fetches nothing more. When the
 // origin fails the fetch, the first is waited for.
-func Example_copyMisses() {
-	s := start()
+func Example_hedgeMissFetchedOnce() {
+	s := testConfig()
 	s.AllowHedging, s.MaxPushes, s.CacheAside = true, 4, true
 	for _, fetched := range []Outcome{Served, Failed} {
-		x := open(s, "a", "b", "origin")
-		op := x.ask("op", 0, "page", 500, false)
-		x.after(101)
-		x.over(op.pushes[1], CacheMiss, 1)
+		x := newHarness(s, "a", "b", "origin")
+		op := x.sendOp("op", 0, "page", 500, false)
+		x.advance(101)
+		x.finishPush(op.pushes[1], CacheMiss, 1)
 		if fetched == Served {
-			x.over(op.pushes[0], CacheMiss, 102)
+			x.finishPush(op.pushes[0], CacheMiss, 102)
 		}
-		x.over(op.pushes[2], fetched, 20)
-		x.over(op.pushes[0], Served, 130)
+		x.finishPush(op.pushes[2], fetched, 20)
+		x.finishPush(op.pushes[0], Served, 130)
 		fmt.Println("over:", op.IsDone())
 	}
 	// Output:
@@ -132,19 +132,19 @@
 }
 
 // An op whose copy waits for a fetch and may have no further push is not given up: its first push is still out.
-func Example_waitingCopy() {
-	s := start()
+func Example_hedgeWaitingForFetchKeepsOpOpen() {
+	s := testConfig()
 	s.AllowHedging, s.MaxPushes, s.CacheAside = true, 3, true
-	x := open(s, "a", "b", "origin")
-	x.ask("op", 0, "page", 500, false)
-	x.after(30)
-	x.ask("leads", 0, "page", 500, false)
-	x.end("leads", CacheMiss, 1)
-	x.after(60)
-	x.over(x.ops["op"].pushes[1], CacheMiss, 1)
+	x := newHarness(s, "a", "b", "origin")
+	x.sendOp("op", 0, "page", 500, false)
+	x.advance(30)
+	x.sendOp("leads", 0, "page", 500, false)
+	x.finish("leads", CacheMiss, 1)
+	x.advance(60)
+	x.finishPush(x.ops["op"].pushes[1], CacheMiss, 1)
 	x.ops["op"].pushes = append(x.ops["op"].pushes, x.ops["op"].pushes[1]) // one more that never ran: none is left
-	x.end("leads", Served, 20)
-	x.end("op", Served, 80)
+	x.finish("leads", Served, 20)
+	x.finish("op", Served, 80)
 	// Output:
 	// 0 push op to a
 	//   30 push leads to a
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -5,17 +5,17 @@
 )
 
 // The same events bring the same actions.
-func Example_sameActions() {
+func Example_deterministicDecisions() {
 	run := func() (trace string) {
-		x := aside()
+		x := newOriginHarness()
 		for i := range 500 {
 			x.silent = true
-			x.after(3)
+			x.advance(3)
 			name := fmt.Sprint("op", i)
-			op := x.ask(name, i%4, fmt.Sprint("key", i%17), 300, i%5 == 0)
+			op := x.sendOp(name, i%4, fmt.Sprint("key", i%17), 300, i%5 == 0)
 			for k := i; op.inFlight > 0; k += 3 {
-				trace += at(op).Host.Name
-				x.PushEnded(at(op), Outcome(k%10), 5, Outcome(k%10) == Served, nil)
+				trace += pendingPush(op).Host.Name
+				x.PushEnded(pendingPush(op), Outcome(k%10), 5, Outcome(k%10) == Served, nil)
 			}
 		}
 		return trace
@@ -28,13 +28,13 @@
 
 // The next process goes by what the one before has learned, but not of a host that has started anew. Cold hosts' budgets are one
 // process's at a time.
-func Example_learned() {
-	x := open(start(), "a", "b", "c")
+func Example_learnedStateHandover() {
+	x := newHarness(testConfig(), "a", "b", "c")
 	x.silent = true
 	for i := range 20 {
 		op := fmt.Sprint("op", i)
-		x.ask(op, 0, op, 500, false)
-		x.end(op, Served, 40)
+		x.sendOp(op, 0, op, 500, false)
+		x.finish(op, Served, 40)
 	}
 	x.t += 5000
 	x.Advance(x.t)
@@ -45,7 +45,7 @@
 	left := x.hosts["c"].coldBudget
 	x.YieldColdHosts(true)
 	fmt.Println("the old one affords a cold host:", x.hasColdBudget(x.hosts["c"]))
-	y := open(start(), "a", "b", "c")
+	y := newHarness(testConfig(), "a", "b", "c")
 	y.Advance(x.t)
 	y.hosts["b"].UpSince, y.hosts["c"].UpSince = x.t-500, x.hosts["c"].UpSince
 	for _, part := range x.Learned().Split(2) {
@@ -53,7 +53,7 @@
 	}
 	fmt.Println("latency:", y.Categories[0].avgLatency == x.Categories[0].avgLatency, "gate:", y.fleetLimiter.limit == x.fleetLimiter.limit)
 	fmt.Println("rests:", y.hosts["a"].ejectedUntil > x.t, y.hosts["b"].ejectedUntil > x.t, "budget:", y.hosts["c"].coldBudget == left)
-	early := boot(start()).Learned()
+	early := newUnlistedHarness(testConfig()).Learned()
 	y.Restore(early)
 	fmt.Println("before a list:", early, y.Categories[0].avgLatency == x.Categories[0].avgLatency)
 	// Output:
--- a/balance/order_test.go
+++ b/balance/order_test.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// ordered is a start at which ops of the last row keep their order by key, with 50 ms of rest.
-func ordered() Config {
-	s := start()
+// orderedConfig is a start at which ops of the last row keep their order by key, with 50 ms of rest.
+func orderedConfig() Config {
+	s := testConfig()
 	s.KeyQuietTime = 50
 	s.Categories = append(s.Categories, &Category{Target: 400, Benefit: 1, LateBenefit: 0.5, Ordered: true})
 	return s
 }
 
 // Ops of one key run one after another, as they came; other keys, other categories and ops without a key are free.
-func Example_order() {
-	x := open(ordered(), "a", "b", "c", "d")
+func Example_orderedOpsRunOneAtATime() {
+	x := newHarness(orderedConfig(), "a", "b", "c", "d")
 	for _, name := range []string{"op0", "op1", "op2"} {
-		x.ask(name, 4, "page", 2000, false)
+		x.sendOp(name, 4, "page", 2000, false)
 	}
-	x.ask("other", 4, "leaf", 2000, false)
-	x.ask("free", 0, "page", 2000, false)
-	x.ask("bare", 4, "", 2000, false)
-	x.end("op0", Served, 10)
-	x.end("op1", Failed, 10) // its second push is before op2's first
-	x.end("op1", Served, 10)
-	x.end("op2", Served, 10)
+	x.sendOp("other", 4, "leaf", 2000, false)
+	x.sendOp("free", 0, "page", 2000, false)
+	x.sendOp("bare", 4, "", 2000, false)
+	x.finish("op0", Served, 10)
+	x.finish("op1", Failed, 10) // its second push is before op2's first
+	x.finish("op1", Served, 10)
+	x.finish("op2", Served, 10)
 	fmt.Println("turns kept for nothing:", len(x.keyQueues)-1)
 	// Output:
 	// 0 push op0 to c
@@ -40,22 +40,22 @@
 
 // After a push that may still run the key rests. An op given up while its push is out holds the turn until that has
 // its outcome, and one that is given up in line lets those behind it move up.
-func Example_orderRests() {
-	s := ordered()
+func Example_orderedKeyRestsAfterUncertainPush() {
+	s := orderedConfig()
 	s.Categories[4].LateBenefit = 0
-	x := open(s, "a", "b", "c", "d")
-	x.ask("op0", 4, "page", 2000, false)
-	x.after(350)
-	x.ask("op1", 4, "page", 60, false)
-	x.ask("op2", 4, "page", 2000, false)
-	x.after(200)
-	x.end("op2", ConnBroken, 10)
-	x.ask("op3", 4, "page", 2000, false)
-	x.end("op2", Served, 10)
-	x.after(100)
-	x.end("op3", TimedOut, 10)
+	x := newHarness(s, "a", "b", "c", "d")
+	x.sendOp("op0", 4, "page", 2000, false)
+	x.advance(350)
+	x.sendOp("op1", 4, "page", 60, false)
+	x.sendOp("op2", 4, "page", 2000, false)
+	x.advance(200)
+	x.finish("op2", ConnBroken, 10)
+	x.sendOp("op3", 4, "page", 2000, false)
+	x.finish("op2", Served, 10)
+	x.advance(100)
+	x.finish("op3", TimedOut, 10)
 	x.ClientLeft(x.ops["op3"])
-	x.after(6000)
+	x.advance(6000)
 	fmt.Println("turns kept for nothing:", len(x.keyQueues))
 	// Output:
 	// 0 push op0 to c
@@ -75,14 +75,14 @@
 
 // At a balancer whose clock is off ops seem to have no time left. They have their target latency at the least, as far
 // as the stated doubt goes, and are settled within it.
-func Example_clockOff() {
-	s := start()
+func Example_clockSkewKeepsTargetLatency() {
+	s := testConfig()
 	s.DeadlineSkew = 300
-	x := open(s, "a", "b", "c", "d")
-	x.ask("short", 0, "page", 5, false)
-	x.ask("past", 0, "leaf", -250, false)
-	x.ask("lost", 0, "leaf", -301, false)
-	x.after(200)
+	x := newHarness(s, "a", "b", "c", "d")
+	x.sendOp("short", 0, "page", 5, false)
+	x.sendOp("past", 0, "leaf", -250, false)
+	x.sendOp("lost", 0, "leaf", -301, false)
+	x.advance(200)
 	// Output:
 	// 0 push short to c
 	//    0 push past to d
@@ -96,15 +96,15 @@
 }
 
 // A host may have started later than it is listed, by the doubt on stamps: for so much longer it counts as cold.
-func Example_stampOff() {
+func Example_startTimeDoubtExtendsColdPeriod() {
 	for _, doubt := range []float64{0, 2000} {
-		s := start()
+		s := testConfig()
 		s.UpSinceSkew = doubt
-		x := open(s, "a", "b", "c", "d")
-		flood(x, 6000)
-		x.tell("d", Gone, 0)
-		x.tell("d", Ready, x.t-4000)
-		fmt.Printf("doubt %v ms: %d\n", doubt, flood(x, 1000)["d"])
+		x := newHarness(s, "a", "b", "c", "d")
+		sendUniqueKeys(x, 6000)
+		x.updateHost("d", Gone, 0)
+		x.updateHost("d", Ready, x.t-4000)
+		fmt.Printf("doubt %v ms: %d\n", doubt, sendUniqueKeys(x, 1000)["d"])
 	}
 	// Output:
 	// doubt 0 ms: 222
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -5,18 +5,18 @@
 )
 
 // A host that fails rests, is tried with one op at a time, and is trusted again once it answers.
-func Example_healing() {
-	x := open(start(), "a", "b", "c", "d")
-	x.ask("op0", 0, "page", 900, false)
-	x.end("op0", Failed, 1)
-	x.end("op0", Served, 9)
-	x.after(300)
-	x.ask("op2", 0, "page", 900, false)
-	x.ask("op3", 0, "page", 900, false)
-	x.end("op2", Served, 9)
-	x.end("op3", Served, 9)
-	x.ask("op4", 0, "page", 900, false)
-	x.ask("op5", 0, "page", 900, false)
+func Example_failedHostRecovers() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
+	x.sendOp("op0", 0, "page", 900, false)
+	x.finish("op0", Failed, 1)
+	x.finish("op0", Served, 9)
+	x.advance(300)
+	x.sendOp("op2", 0, "page", 900, false)
+	x.sendOp("op3", 0, "page", 900, false)
+	x.finish("op2", Served, 9)
+	x.finish("op3", Served, 9)
+	x.sendOp("op4", 0, "page", 900, false)
+	x.sendOp("op5", 0, "page", 900, false)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to d
@@ -31,14 +31,14 @@
 
 // A host that takes no connection may be dead, or just full of them. It rests after the failure in proportion
 // to what it took: 100 ms after 5 ms, and the usual 250 after 50.
-func Example_failedConnects() {
+func Example_restScalesWithConnectTime() {
 	for _, took := range []float64{5, 50} {
-		x := open(start(), "a", "b", "c", "d")
-		x.ask("op0", 0, "page", 500, false)
-		x.end("op0", ConnectFailed, took)
-		x.end("op0", Served, 9)
-		x.after(150)
-		x.ask("op1", 0, "page", 500, false)
+		x := newHarness(testConfig(), "a", "b", "c", "d")
+		x.sendOp("op0", 0, "page", 500, false)
+		x.finish("op0", ConnectFailed, took)
+		x.finish("op0", Served, 9)
+		x.advance(150)
+		x.sendOp("op1", 0, "page", 500, false)
 	}
 	// Output:
 	// 0 push op0 to c
@@ -53,14 +53,14 @@
 
 // A host that takes ops and answers none is left by them once the usual time is well past; one that
 // answers others keeps its heavy op.
-func Example_silentHost() {
-	x := open(start(), "a", "b", "c", "d")
-	x.ask("hung", 0, "page", 900, false)
-	x.ask("heavy", 0, "atlas", 900, false)
-	x.ask("light", 0, "atlas", 900, false)
-	x.after(20)
-	x.end("light", Served, 20)
-	x.after(150)
+func Example_unresponsiveHostAbandoned() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
+	x.sendOp("hung", 0, "page", 900, false)
+	x.sendOp("heavy", 0, "atlas", 900, false)
+	x.sendOp("light", 0, "atlas", 900, false)
+	x.advance(20)
+	x.finish("light", Served, 20)
+	x.advance(150)
 	// Output:
 	// 0 push hung to c
 	//    0 push heavy to b
@@ -72,20 +72,20 @@
 
 // One op in three is heavy, and on hosts that have answered no other since. What is called off counts as usual
 // latency too: patience learned from the quick alone would call ever more off.
-func Example_heavyOps() {
-	x := open(start(), "a", "b", "c", "d", "e", "f")
+func Example_slowOpsNotCancelledRepeatedly() {
+	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
 	x.silent = true
 	for round := range 4 {
 		called := 0
 		for i := range 30 {
-			op := x.ask("op", 0, fmt.Sprint("key", round, i), 900, false)
+			op := x.sendOp("op", 0, fmt.Sprint("key", round, i), 900, false)
 			took := 20.0
 			if i%3 == 0 {
 				took = 150
 			}
-			x.after(took)
+			x.advance(took)
 			called += len(op.pushes) - 1
-			x.end("op", Served, x.t-at(op).sentAt)
+			x.finish("op", Served, x.t-pendingPush(op).sentAt)
 		}
 		fmt.Println("called off:", called, "of 10 heavy ones")
 	}
@@ -98,13 +98,13 @@
 
 // One heavy op narrows the hosts' gate once; the timely answers after it, while the smoothed latency is still
 // over its goal, do not narrow it again.
-func Example_oneHeavyOp() {
-	x := open(start(), "a", "b", "c", "d")
+func Example_oneSlowOpNarrowsGateOnce() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
 	x.silent = true
 	for _, took := range []float64{20, 400, 20, 20, 20} {
-		x.ask("op", 0, "page", 900, false)
-		x.after(80)
-		x.end("op", Served, took)
+		x.sendOp("op", 0, "page", 900, false)
+		x.advance(80)
+		x.finish("op", Served, took)
 		fmt.Printf("%.0f ms: limit %.0f, smoothed over target %.2f\n", took, x.fleetLimiter.limit, x.fleetLimiter.congestion)
 	}
 	// Output:
@@ -117,13 +117,13 @@
 
 // A single spoilt answer says little of a host: the op goes there again, for it may hold the key. A host of which many
 // come is left for a while. All hosts that spoil a few answers once rested in turn, and keys missed elsewhere.
-func Example_spoilt() {
-	x := open(start(), "a", "b", "c", "d")
+func Example_fewCorruptAnswersKeepHost() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
 	for _, name := range []string{"op0", "op1"} {
-		x.ask(name, 0, "page", 500, false)
-		x.end(name, InvalidAnswer, 5)
+		x.sendOp(name, 0, "page", 500, false)
+		x.finish(name, InvalidAnswer, 5)
 	}
-	x.end("op1", Served, 5)
+	x.finish("op1", Served, 5)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to c
@@ -133,13 +133,13 @@
 }
 
 // A kept connection that ends under a push counts as little: hosts close them as they like.
-func Example_stale() {
-	x := open(start(), "a", "b", "c", "d")
-	x.ask("read", 0, "page", 500, false)
-	x.end("read", StaleConn, 5)
-	x.end("read", Served, 5)
-	x.ask("once", 2, "page", 500, false)
-	x.end("once", StaleConn, 5)
+func Example_staleConnectionNotBlamed() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
+	x.sendOp("read", 0, "page", 500, false)
+	x.finish("read", StaleConn, 5)
+	x.finish("read", Served, 5)
+	x.sendOp("once", 2, "page", 500, false)
+	x.finish("once", StaleConn, 5)
 	// Output:
 	// 0 push read to c
 	//    0 push read to c
@@ -150,14 +150,14 @@
 
 // A push whose host answers others may be a heavy op: it is left at the first look, and called off at the second, for its
 // connection may be dead without a word. It once waited until its time was over.
-func Example_secondLook() {
-	x := open(start(), "a", "b", "c", "d")
-	x.ask("stuck", 0, "page", 500, false)
-	x.after(60)
-	x.ask("other", 0, "page", 500, false)
-	x.end("other", Served, 10)
-	x.after(150)
-	x.end("stuck", Served, 10)
+func Example_stuckPushCancelledAtSecondCheck() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
+	x.sendOp("stuck", 0, "page", 500, false)
+	x.advance(60)
+	x.sendOp("other", 0, "page", 500, false)
+	x.finish("other", Served, 10)
+	x.advance(150)
+	x.finish("stuck", Served, 10)
 	// Output:
 	// 0 push stuck to c
 	//   60 push other to c
@@ -168,21 +168,21 @@
 }
 
 // An op that two hosts hold for wrong is given up, and neither is blamed; one that another host serves tells of the first.
-func Example_rejected() {
-	x := open(start(), "a", "b", "c", "d")
-	x.ask("wrong", 0, "page", 500, false)
-	x.end("wrong", InvalidOp, 5)
-	x.end("wrong", InvalidOp, 5)
-	x.ask("right", 0, "page", 500, false)
-	x.end("right", InvalidOp, 5)
-	x.end("right", Served, 5)
-	x.ask("next", 0, "page", 500, false)
-	s := start()
+func Example_rejectedOpBlamesNoHost() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
+	x.sendOp("wrong", 0, "page", 500, false)
+	x.finish("wrong", InvalidOp, 5)
+	x.finish("wrong", InvalidOp, 5)
+	x.sendOp("right", 0, "page", 500, false)
+	x.finish("right", InvalidOp, 5)
+	x.finish("right", Served, 5)
+	x.sendOp("next", 0, "page", 500, false)
+	s := testConfig()
 	s.CacheAside = true
-	x = open(s, "a", "o") // a fetch that the origin holds for wrong once waited for itself
-	x.ask("fetch", 0, "page", 500, false)
+	x = newHarness(s, "a", "o") // a fetch that the origin holds for wrong once waited for itself
+	x.sendOp("fetch", 0, "page", 500, false)
 	for _, o := range []Outcome{CacheMiss, InvalidOp, InvalidOp} {
-		x.end("fetch", o, 5)
+		x.finish("fetch", o, 5)
 	}
 	// Output:
 	// 0 push wrong to c
@@ -199,18 +199,18 @@
 }
 
 // With every host failing at once, then well again: each op is settled once, and service comes back.
-func Example_allFail() {
-	x := open(start(), "a", "b", "c", "d")
+func Example_recoveryAfterAllHostsFail() {
+	x := newHarness(testConfig(), "a", "b", "c", "d")
 	x.silent = true
 	for s := range 8 {
 		served, ops := 0, []*Op{}
 		for i := range 100 {
-			x.after(10)
+			x.advance(10)
 			name := fmt.Sprint("op", s, i)
-			ops = append(ops, x.ask(name, 0, name, 300, false))
+			ops = append(ops, x.sendOp(name, 0, name, 300, false))
 			for _, op := range ops {
-				if op.inFlight > 0 && s >= 2 && x.t-at(op).sentAt < 40 {
-					x.end(op.Ref.(string), Served, 10)
+				if op.inFlight > 0 && s >= 2 && x.t-pendingPush(op).sentAt < 40 {
+					x.finish(op.Ref.(string), Served, 10)
 					served++
 				}
 			}
@@ -219,7 +219,7 @@
 			fmt.Printf("second %d: %d of 100 acked\n", s+1, served)
 		}
 	}
-	x.after(1000)
+	x.advance(1000)
 	open := 0
 	for _, op := range x.ops {
 		if op.state != stateSettled {
@@ -238,26 +238,26 @@
 // What finds out that a suspect host is still bad is a hundredth of the ops, where others have room: each op that tries is late
 // for it, and each of 300 balancers tried each of two dozen slow hosts every 4 s. A try that is answered costs nothing, so
 // a fleet that is well again is soon in use.
-func Example_triesOfSuspectHosts() {
+func Example_probesOfSuspectHostsLimited() {
 	var names []string
 	for i := range 20 {
 		names = append(names, fmt.Sprint("h", i))
 	}
-	x := open(start(), names...)
+	x := newHarness(testConfig(), names...)
 	x.silent = true
 	bad := func(h *Host) bool { return len(h.Name) == 2 } // ten of the twenty
 	run := func(well bool) (tried int) {
 		for i := range 3000 {
-			x.after(10)
+			x.advance(10)
 			name := fmt.Sprint("op", i)
-			op := x.ask(name, 0, name, 500, false)
+			op := x.sendOp(name, 0, name, 500, false)
 			for op.inFlight > 0 {
-				if p := at(op); bad(p.Host) && !well {
+				if p := pendingPush(op); bad(p.Host) && !well {
 					tried++
-					x.end(name, Failed, 5)
+					x.finish(name, Failed, 5)
 					continue
 				}
-				x.end(name, Served, 5)
+				x.finish(name, Served, 5)
 			}
 		}
 		return tried
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// ramp plays what n balancers together send hosts that have come up cold, from the moment they are listed until they are warm,
+// rampSimulation plays what n balancers together send hosts that have come up cold, from the moment they are listed until they are warm,
 // where more wants to go there than may. It counts the draws in which one of them got more in some span than it can bear.
-type ramp struct {
+type rampSimulation struct {
 	n           int     // balancers
 	hosts       int     // all
 	cold        int     // of these
@@ -25,10 +25,10 @@
 const (
 	rampWarmUp = 4000.0 // ms, twice what rates are averaged over
 	rampStep   = 10.0   // ms
-	rampDraws  = 20     // of each kind: a few seconds; a thousand were drawn once (docs/standing.md)
+	rampRuns   = 20     // of each kind: a few seconds; a thousand were drawn once (docs/standing.md)
 )
 
-func (r *ramp) draw(seed uint64) {
+func (r *rampSimulation) simulate(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(r.n)))
 	begins := rampWarmUp
 	if r.fresh {
@@ -45,14 +45,14 @@
 	for i := range r.n {
 		part := weights[i] / all
 		lists := begins + rng.Float64()*r.late
-		x, hosts := r.boot(rng.Uint64())
+		x, hosts := r.newBalancer(rng.Uint64())
 		for t := 0.0; t < begins+5000; t += rampStep {
 			if r.restarted && t >= begins+1000 && t < begins+1000+rampStep {
-				x, hosts = r.boot(rng.Uint64())
-				r.list(x, hosts, begins)
+				x, hosts = r.newBalancer(rng.Uint64())
+				r.sendList(x, hosts, begins)
 			}
 			if t <= lists && lists < t+rampStep {
-				r.list(x, hosts, begins)
+				r.sendList(x, hosts, begins)
 			}
 			warm := r.hosts
 			if t >= lists {
@@ -91,10 +91,10 @@
 	}
 }
 
-func (r *ramp) boot(seed uint64) (*scene, []*Host) {
-	s := start()
+func (r *rampSimulation) newBalancer(seed uint64) (*harness, []*Host) {
+	s := testConfig()
 	s.Seed, s.GroupSize, s.Quantum = seed, r.n, 1
-	x := &scene{silent: true}
+	x := &harness{silent: true}
 	x.Balancer = New(s, x, 0)
 	for _, c := range x.Categories { // a host is at work on one op after another
 		c.avgLatency = 1 / r.rate
@@ -103,11 +103,11 @@
 	for i := range r.hosts {
 		hosts = append(hosts, &Host{Name: fmt.Sprint("host", i)})
 	}
-	r.list(x, hosts, 0)
+	r.sendList(x, hosts, 0)
 	return x, hosts
 }
 
-func (r *ramp) list(x *scene, hosts []*Host, up float64) {
+func (r *rampSimulation) sendList(x *harness, hosts []*Host, up float64) {
 	var entries []HostEntry
 	for i, h := range hosts {
 		l := Listing{Size: 1}
@@ -128,16 +128,16 @@
 
 // What all balancers together send a cold host stays within what it can bear, N, and chance, 2√N + 2: at the end of a
 // replacement, where all is new, as a zone comes back, and where balancers that are restarted have forgotten what they sent.
-func Example_coldRamp() {
+func Example_coldHostBudgetHeldAcrossBalancers() {
 	for _, n := range []int{1, 5, 20, 30, 300} {
-		for _, k := range ramps {
+		for _, k := range rampCases {
 			k.r.n = n
-			draws := rampDraws
+			draws := rampRuns
 			if n == 300 {
-				draws = rampDraws / 5
+				draws = rampRuns / 5
 			}
 			for seed := range draws {
-				k.r.draw(uint64(seed))
+				k.r.simulate(uint64(seed))
 			}
 			if k.r.over > 0 {
 				fmt.Println(n, "balancers,", k.name, "over in", k.r.over, "of", k.r.drawn)
@@ -147,13 +147,13 @@
 	// Output:
 }
 
-var ramps = []struct {
+var rampCases = []struct {
 	name string
-	r    ramp
+	r    rampSimulation
 }{
-	{"a host replaced", ramp{hosts: 10, cold: 1, rate: 0.05, wants: 3, late: 500}},
-	{"a slow fleet", ramp{hosts: 10, cold: 1, rate: 0.004, wants: 3}},
-	{"a zone's return, skewed", ramp{hosts: 12, cold: 4, rate: 0.08, skewed: true, wants: 2, late: 1500}},
-	{"all restarted", ramp{hosts: 6, cold: 6, rate: 0.08, fresh: true, wants: 1}},
-	{"balancers restarted", ramp{hosts: 10, cold: 3, rate: 0.05, restarted: true, wants: 3}},
+	{"a host replaced", rampSimulation{hosts: 10, cold: 1, rate: 0.05, wants: 3, late: 500}},
+	{"a slow fleet", rampSimulation{hosts: 10, cold: 1, rate: 0.004, wants: 3}},
+	{"a zone's return, skewed", rampSimulation{hosts: 12, cold: 4, rate: 0.08, skewed: true, wants: 2, late: 1500}},
+	{"all restarted", rampSimulation{hosts: 6, cold: 6, rate: 0.08, fresh: true, wants: 1}},
+	{"balancers restarted", rampSimulation{hosts: 10, cold: 3, rate: 0.05, restarted: true, wants: 3}},
 }
--- a/balance/repeat_test.go
+++ b/balance/repeat_test.go
@@ -5,15 +5,15 @@
 )
 
 // What may follow each outcome, for each kind of repeat.
-func Example_repeats() {
+func Example_repeatAfterOutcome() {
 	names := []string{"refused", "no connection", "error", "broken", "unknown"}
 	for row, kind := range []string{"redeliverable", "deduplicated", "at most once", "dropped in its zone"} {
 		fmt.Print(kind, ":")
 		for i, o := range []Outcome{Overloaded, ConnectFailed, Failed, ConnBroken, UnknownOutcome} {
-			x := open(start(), "a", "b", "c")
+			x := newHarness(testConfig(), "a", "b", "c")
 			x.silent = true
-			op := x.ask("op", row, "page", 500, false)
-			x.end("op", o, 1)
+			op := x.sendOp("op", row, "page", 500, false)
+			x.finish("op", o, 1)
 			fmt.Print(" ", names[i], " ", map[opState]string{statePushed: "push", stateSettled: "dead letter"}[op.state])
 		}
 		fmt.Println()
@@ -26,13 +26,13 @@
 }
 
 // Past its window a deduplicated op that may have run is neither pushed again nor nacked.
-func Example_window() {
-	s := start()
+func Example_noRepeatPastDedupWindow() {
+	s := testConfig()
 	s.AllowCancel = false
-	x := open(s, "a", "b", "c")
-	x.ask("op", 1, "page", 900, false)
-	x.after(310)
-	x.end("op", ConnBroken, 310)
+	x := newHarness(s, "a", "b", "c")
+	x.sendOp("op", 1, "page", 900, false)
+	x.advance(310)
+	x.finish("op", ConnBroken, 310)
 	// Output:
 	// 0 push op to c
 	//  310 dead-letter op
@@ -40,13 +40,13 @@
 
 // Every op is settled ahead of its TTL, also one that comes with next to no time left; what is out is
 // called off, and an outcome that comes late changes nothing.
-func Example_settlement() {
-	x := open(start(), "a", "b", "c")
-	x.ask("read", 0, "page", 200, false)
-	x.ask("once", 2, "page", 200, false)
-	x.ask("late", 0, "page", 8, false)
-	x.after(200)
-	x.end("once", ConnBroken, 200)
+func Example_settledBeforeTTL() {
+	x := newHarness(testConfig(), "a", "b", "c")
+	x.sendOp("read", 0, "page", 200, false)
+	x.sendOp("once", 2, "page", 200, false)
+	x.sendOp("late", 0, "page", 8, false)
+	x.advance(200)
+	x.finish("once", ConnBroken, 200)
 	// Output:
 	// 0 push read to c
 	//    0 push once to c
@@ -60,15 +60,15 @@
 }
 
 // Where a late answer is worth nothing an op is settled at its target latency, and its push called off.
-func Example_worthlessLate() {
-	s := start()
+func Example_worthlessLateOpCancelledAtTarget() {
+	s := testConfig()
 	s.Categories[0].LateBenefit = 0
-	x := open(s, "a", "b")
-	x.ask("op0", 0, "page", 900, false)
-	x.ask("op1", 0, "page", 900, false)
-	x.after(50)
-	x.end("op1", Served, 50)
-	x.after(100)
+	x := newHarness(s, "a", "b")
+	x.sendOp("op0", 0, "page", 900, false)
+	x.sendOp("op1", 0, "page", 900, false)
+	x.advance(50)
+	x.finish("op1", Served, 50)
+	x.advance(100)
 	// Output:
 	// 0 push op0 to a
 	//    0 push op1 to a
@@ -78,12 +78,12 @@
 }
 
 // A stream is bound to its push: neither TTL nor a break pushes it again.
-func Example_stream() {
-	x := open(start(), "a", "b")
-	op := x.ask("op", 0, "page", 200, false)
-	x.StreamingStarted(at(op))
-	x.after(300)
-	x.PushEnded(at(op), ConnBroken, 300, true, nil)
+func Example_streamNeverRepeated() {
+	x := newHarness(testConfig(), "a", "b")
+	op := x.sendOp("op", 0, "page", 200, false)
+	x.StreamingStarted(pendingPush(op))
+	x.advance(300)
+	x.PushEnded(pendingPush(op), ConnBroken, 300, true, nil)
 	fmt.Println(op.IsDone())
 	// Output:
 	// 0 push op to a
@@ -92,23 +92,23 @@
 
 // Clients that go away, and pushes that get no answer while their host answers others, are no sign of crowding: the gates
 // stay as wide as they were. An op that takes as long unanswered by all is one.
-func Example_leavers() {
-	x := open(start(), "a", "b", "c", "d", "o")
+func Example_departedClientsDoNotNarrowGates() {
+	x := newHarness(testConfig(), "a", "b", "c", "d", "o")
 	x.silent = true
 	before := x.fleetLimiter.limit
 	for i := range 200 {
 		name := fmt.Sprint("op", i)
-		x.ask(name, 0, name, 500, false)
-		x.after(3)
+		x.sendOp(name, 0, name, 500, false)
+		x.advance(3)
 		x.ClientLeft(x.ops[name])
-		x.after(20)
+		x.advance(20)
 	}
 	fmt.Println("as wide as before:", x.fleetLimiter.limit == before)
 	for i := range 20 {
 		name := fmt.Sprint("late", i)
-		x.ask(name, 2, name, 300, false)
-		x.after(300)
-		x.end(name, TimedOut, 300)
+		x.sendOp(name, 2, name, 300, false)
+		x.advance(300)
+		x.finish(name, TimedOut, 300)
 	}
 	fmt.Println("narrower:", x.fleetLimiter.limit < before)
 	// Output:
@@ -118,13 +118,13 @@
 
 // A long answer that has begun to flow gives back its places at host and gate, and those that waited for its key go on: its
 // client may take seconds over the rest. Where it breaks midway the host is blamed.
-func Example_longAnswer() {
-	s := start()
+func Example_streamingFreesGatePlaces() {
+	s := testConfig()
 	s.CacheAside = true
-	x := open(s, "a", "origin")
-	x.ask("leads", 0, "page", 500, false)
-	x.end("leads", CacheMiss, 5)
-	x.ask("waits", 0, "page", 500, false)
+	x := newHarness(s, "a", "origin")
+	x.sendOp("leads", 0, "page", 500, false)
+	x.finish("leads", CacheMiss, 5)
+	x.sendOp("waits", 0, "page", 500, false)
 	p := x.ops["leads"].pushes[1]
 	x.StreamingStarted(p)
 	fmt.Println(p.Host.inFlight, x.originLimiter.inFlight, x.fleetLimiter.inFlight)
--- a/balance/rounds_test.go
+++ b/balance/rounds_test.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// loop is a front in rounds, in a time of its own: it reads all that has come, hands it over, fires the timer and
+// eventLoop is a front in rounds, in a time of its own: it reads all that has come, hands it over, fires the timer and
 // then writes, and a round takes as long as it is told. Clients send one op after another.
-type loop struct {
-	*scene
+type eventLoop struct {
+	*harness
 	names   int
 	hosts   func(h *Host) float64 // ms that the next answer takes
 	work    func() float64        // ms that the next round takes, beside what its ops do
@@ -17,7 +17,7 @@
 	before  float64 // ms, the start of the last round
 	end     float64 // ms, its end
 	written []*Push // in this round
-	flights []flight
+	flights []pendingAnswer
 	arrive  []float64 // ms, when clients send next
 	rate    float64   // ops a ms that come whatever is answered
 	queue   []float64 // ms, when those came that have not been read
@@ -31,31 +31,31 @@
 	blamed  float64 // the most that a host was held to fail
 }
 
-type flight struct {
+type pendingAnswer struct {
 	p        *Push
 	went, at float64
 }
 
-func rounds(s Config, clients int, hosts func(h *Host) float64, work func() float64) *loop {
-	x := &loop{scene: boot(s), hosts: hosts, work: work, each: 0.02, rng: 1, sent: map[*Op]float64{}}
+func newEventLoop(s Config, clients int, hosts func(h *Host) float64, work func() float64) *eventLoop {
+	x := &eventLoop{harness: newUnlistedHarness(s), hosts: hosts, work: work, each: 0.02, rng: 1, sent: map[*Op]float64{}}
 	x.silent, x.wake = true, 0
 	x.Balancer = New(s, x, 0) // behind this front, not the scene's
-	x.scene.list(true, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
+	x.harness.listHosts(true, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	for i := range clients {
 		x.arrive = append(x.arrive, float64(i)*0.01)
 	}
 	return x
 }
 
-func (x *loop) Push(p *Push, _ float64)   { x.written = append(x.written, p) }
-func (x *loop) Cancel(p *Push)            { x.called++; x.scene.called = append(x.scene.called, p) }
-func (x *loop) Nack(op *Op, wait float64) { x.nacked++; x.again(wait) } // its client comes back
+func (x *eventLoop) Push(p *Push, _ float64)   { x.written = append(x.written, p) }
+func (x *eventLoop) Cancel(p *Push)            { x.called++; x.harness.called = append(x.harness.called, p) }
+func (x *eventLoop) Nack(op *Op, wait float64) { x.nacked++; x.scheduleNextOp(wait) } // its client comes back
 
-// again has a client send its next op, after the answer to the last is written.
-func (x *loop) again(wait float64) { x.arrive = append(x.arrive, -wait) }
+// scheduleNextOp has a client send its next op, after the answer to the last is written.
+func (x *eventLoop) scheduleNextOp(wait float64) { x.arrive = append(x.arrive, -wait) }
 
 // run lets ms pass.
-func (x *loop) run(ms float64) {
+func (x *eventLoop) run(ms float64) {
 	for until := x.t + ms; x.t < until; {
 		next, waited := min(x.wake, until), true
 		for _, f := range x.flights {
@@ -71,11 +71,11 @@
 			next, waited = x.end, false
 		}
 		x.t = next
-		x.round(waited)
+		x.runRound(waited)
 	}
 }
 
-func (x *loop) round(waited bool) {
+func (x *eventLoop) runRound(waited bool) {
 	heard := x.t // the earliest that what is read now can have come
 	if !waited {
 		heard = x.before
@@ -89,7 +89,7 @@
 	}
 	x.Advance(x.t)
 	x.ReportInputWait(wait)
-	x.hear()
+	x.confirmCancels()
 	flights, n := x.flights, 0
 	x.flights = nil
 	for _, f := range flights {
@@ -106,7 +106,7 @@
 			}
 			x.PushEnded(f.p, Served, max(0, heard-f.went), true, nil)
 			if x.rate == 0 {
-				x.again(0)
+				x.scheduleNextOp(0)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 		}
 		n++
 		x.names++
-		x.ask(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)
+		x.sendOp(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)
 	}
 	for work := 0.0; len(x.queue) > 0 && work < 0.5; x.queue = x.queue[1:] {
 		if room, _ := x.Admit(); !room {
@@ -130,7 +130,7 @@
 		n++
 		work += x.each
 		x.names++
-		x.sent[x.ask(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)] = x.queue[0]
+		x.sent[x.sendOp(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)] = x.queue[0]
 	}
 	if x.wake <= x.t {
 		x.wake = math.Inf(1)
@@ -139,7 +139,7 @@
 	x.before, x.end = x.t, x.t+x.work()+float64(n)*x.each
 	for _, p := range x.written {
 		x.PushStarted(p, x.end-x.t, false)
-		x.flights = append(x.flights, flight{p, x.end, x.end + x.hosts(p.Host)})
+		x.flights = append(x.flights, pendingAnswer{p, x.end, x.end + x.hosts(p.Host)})
 	}
 	x.written = nil
 	for i, at := range x.arrive {
@@ -161,13 +161,13 @@
 }
 
 // Fast hosts, and a process that is late itself by up to 10 ms: that is no sign of a host, and no push is called off.
-func Example_lateRounds() {
+func Example_processDelayBlamesNoHost() {
 	for _, usual := range []float64{0.02, 0.2, 2} {
 		for _, clients := range []int{1, 8, 100} {
-			s := start()
+			s := testConfig()
 			s.Categories[0].Target = 200
-			var x *loop
-			x = rounds(s, clients, func(*Host) float64 { return x.rng.jitter(usual) }, func() float64 {
+			var x *eventLoop
+			x = newEventLoop(s, clients, func(*Host) float64 { return x.rng.jitter(usual) }, func() float64 {
 				if x.rng.uniform() < 0.1 {
 					return 1 + 9*x.rng.uniform()
 				}
@@ -191,17 +191,17 @@
 
 // Of fast hosts one hangs: on the mean of twenty times it is found about as soon as before, and whether rounds are late or
 // not.
-func Example_slowAmongFast() {
+func Example_hungHostDetectedPromptly() {
 	for _, usual := range []float64{0.02, 0.2, 2} {
 		for _, late := range []float64{0, 5} {
 			all := 0.0
 			for seed := range 20 {
-				s := start()
+				s := testConfig()
 				s.Seed = uint64(seed)
 				s.Categories[0].Target = 200
-				var x *loop
+				var x *eventLoop
 				hung := false
-				x = rounds(s, 20, func(h *Host) float64 {
+				x = newEventLoop(s, 20, func(h *Host) float64 {
 					if hung && h.Name == "c" {
 						return 1000
 					}
@@ -211,7 +211,7 @@
 				x.run(1000)
 				hung = true
 				began := x.t
-				for x.t < began+300 && !x.isSuspect(x.scene.hosts["c"]) {
+				for x.t < began+300 && !x.isSuspect(x.harness.hosts["c"]) {
 					x.run(0.5)
 				}
 				all += x.t - began
@@ -230,12 +230,12 @@
 
 // More comes than the process can do, whatever is answered: as much is served as ever, and all of that in time. What
 // is too much is turned away before it is read. Below that nothing is.
-func Example_tooMuch() {
+func Example_overloadTurnedAwayUnread() {
 	for _, times := range []float64{0.8, 1.5, 2, 4} {
-		s := start()
+		s := testConfig()
 		s.Categories[0].Target = 200
-		var x *loop
-		x = rounds(s, 0, func(*Host) float64 { return x.rng.jitter(0.2) }, func() float64 { return 0.02 })
+		var x *eventLoop
+		x = newEventLoop(s, 0, func(*Host) float64 { return x.rng.jitter(0.2) }, func() float64 { return 0.02 })
 		x.rate = times / (2 * x.each) // an op costs that twice: as it comes, and with its answer
 		x.run(500)
 		x.acked, x.turned, x.slowest = 0, 0, 0
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -6,18 +6,18 @@
 )
 
 // Silent hosts close no gate: with most of the fleet cut off, ops go to those that answer.
-func Example_cutOffZone() {
-	x := open(start(), "a", "b", "c", "d", "e", "f")
+func Example_unresponsiveZoneKeepsGateOpen() {
+	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
 	x.silent = true
 	served := 0
 	var outs []*Op
 	for i := range 3000 {
-		x.after(2)
+		x.advance(2)
 		name := fmt.Sprint("op", i)
-		outs = append(outs, x.ask(name, 0, name, 400, false))
+		outs = append(outs, x.sendOp(name, 0, name, 400, false))
 		for _, op := range outs {
-			if op.inFlight > 0 && at(op).Host.Name < "c" {
-				x.end(op.Ref.(string), Served, 10)
+			if op.inFlight > 0 && pendingPush(op).Host.Name < "c" {
+				x.finish(op.Ref.(string), Served, 10)
 				served++
 			}
 		}
@@ -28,10 +28,10 @@
 	// served: true gate above its floor: true
 }
 
-// zones opens a balancer of the first of two zones; the hosts in upper case stand in its zone.
-func zones(s Config, names ...string) *scene {
+// newZoneHarness opens a balancer of the first of two zones; the hosts in upper case stand in its zone.
+func newZoneHarness(s Config, names ...string) *harness {
 	s.Zone, s.ZoneCount, s.CrossZoneCost, s.CacheAside = 0, 2, 0.03, true
-	x := boot(s)
+	x := newUnlistedHarness(s)
 	for _, n := range names {
 		x.hosts[n] = &Host{Name: n, IsOrigin: n[0] == 'o'}
 		zone := 1
@@ -45,28 +45,28 @@
 
 // Where crossing zones costs more than a fetch, keys keep to their balancer's zone; an op that fails there goes to the
 // other zone's first host. While fetches come late keys are pooled over all zones again.
-func Example_zones() {
-	x := zones(start(), "A", "B", "c", "d", "origin")
+func Example_keysStayInZone() {
+	x := newZoneHarness(testConfig(), "A", "B", "c", "d", "origin")
 	x.silent = true
 	near := func(ops int) int {
 		x.pushes = map[string]int{}
 		for i := range ops {
 			name := fmt.Sprint("op", i)
-			x.ask(name, 0, name, 900, false)
-			x.end(name, Served, 5)
+			x.sendOp(name, 0, name, 900, false)
+			x.finish(name, Served, 5)
 		}
 		return x.pushes["A"] + x.pushes["B"]
 	}
 	fmt.Println("in the zone:", near(400), "of 400")
-	x.ask("fails", 0, "page", 500, false)
-	x.end("fails", Failed, 1)
-	fmt.Println("then to", at(x.ops["fails"]).Host.Name)
+	x.sendOp("fails", 0, "page", 500, false)
+	x.finish("fails", Failed, 1)
+	fmt.Println("then to", pendingPush(x.ops["fails"]).Host.Name)
 	for i := range 12 {
 		name := fmt.Sprint("miss", i)
-		x.ask(name, 0, name, 900, false)
-		x.end(name, CacheMiss, 1)
-		x.after(90)
-		x.end(name, Served, 90)
+		x.sendOp(name, 0, name, 900, false)
+		x.finish(name, CacheMiss, 1)
+		x.advance(90)
+		x.finish(name, Served, 90)
 	}
 	fmt.Println("with late fetches:", near(40), "of 40")
 	// Output:
@@ -77,15 +77,15 @@
 
 // Hosts of the own zone that say they are busier than the others lose their claim on its keys: a zone may have more traffic
 // than its hosts can carry.
-func Example_zonesByReport() {
-	x := zones(start(), "A", "B", "c", "d", "origin")
+func Example_overloadedZoneSharesKeys() {
+	x := newZoneHarness(testConfig(), "A", "B", "c", "d", "origin")
 	x.silent = true
 	for i := range 60 {
 		name := fmt.Sprint("op", i)
-		op := x.ask(name, 0, name, 900, false)
-		x.PushEnded(at(op), Overloaded, 1, false, &LoadReport{Busy: 0.9})
-		x.PushEnded(at(op), Served, 1, true, &LoadReport{Busy: 0.2})
-		x.after(400)
+		op := x.sendOp(name, 0, name, 900, false)
+		x.PushEnded(pendingPush(op), Overloaded, 1, false, &LoadReport{Busy: 0.9})
+		x.PushEnded(pendingPush(op), Served, 1, true, &LoadReport{Busy: 0.2})
+		x.advance(400)
 	}
 	fmt.Println("keys that keep to no zone:", x.crossZoneShare > 0.8)
 	// Output:
@@ -93,12 +93,12 @@
 }
 
 // A deduplicated op that may have run stays with its zone's hosts, also when its last push would be the origin's.
-func Example_zoneOfOrigin() {
-	s := start()
+func Example_zoneDedupNotSentToOrigin() {
+	s := testConfig()
 	s.MaxPushes, s.CacheAside = 2, true
-	x := open(s, "a", "origin")
-	x.ask("op", 3, "page", 500, false)
-	x.end("op", Failed, 5)
+	x := newHarness(s, "a", "origin")
+	x.sendOp("op", 3, "page", 500, false)
+	x.finish("op", Failed, 5)
 	// Output:
 	// 0 push op to a
 	//    0 dead-letter op
@@ -106,11 +106,11 @@
 
 // Crossing is cheap here, so keys keep to no zone; but where balancers outnumber the hosts, or tables of connections are
 // found full, they do, for fewer hosts need a connection then.
-func Example_zonesOfMany() {
+func Example_largeGroupKeepsKeysInZone() {
 	for _, group := range []int{3, 5} {
-		s := start()
+		s := testConfig()
 		s.FetchCost, s.GroupSize = 0.03, group
-		x := zones(s)
+		x := newZoneHarness(s)
 		var entries []HostEntry
 		for i, n := range []string{"A", "B", "c", "d"} {
 			x.hosts[n] = &Host{Name: n}
@@ -122,19 +122,19 @@
 			x.pushes = map[string]int{}
 			for i := range 400 {
 				name := fmt.Sprint("op", i)
-				x.ask(name, 0, name, 900, false)
-				x.end(name, Served, 5)
+				x.sendOp(name, 0, name, 900, false)
+				x.finish(name, Served, 5)
 			}
 			return x.pushes["A"] + x.pushes["B"]
 		}
 		fmt.Println(group, "balancers:", near(), "of 400 in the zone")
 		for i := range 12 {
 			name := fmt.Sprint("turned away", i)
-			x.ask(name, 0, name, 900, false)
-			x.end(name, ConnLimited, 1)
-			x.end(name, Served, 5)
+			x.sendOp(name, 0, name, 900, false)
+			x.finish(name, ConnLimited, 1)
+			x.finish(name, Served, 5)
 		}
-		x.after(20000)
+		x.advance(20000)
 		fmt.Println("after full tables:", near(), "of 400")
 	}
 	// Output:
