--- a/cmd/larchthread/client_leaves_test.go
+++ b/cmd/larchthread/client_leaves_test.go
@@ -28,14 +28,14 @@
 	}
 	f.start()
 	defer f.stop()
-	c := f.client()
+	c := f.newClient()
 	var all strings.Builder
 	all.WriteString("mg k v Ofirst Pc=once,d=5000\r\n") // no answer comes before that to this one
 	for i := range 300 {                                // 256 are read
 		fmt.Fprintf(&all, "mg k%d v O%d Pc=read,d=5000\r\n", i, i)
 	}
-	c.say(0, all.String())
-	for f.sent("0") == 0 {
+	c.sendAndPrint(0, all.String())
+	for f.countPushes("0") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	gone.Store(time.Now().UnixMilli())
@@ -52,18 +52,18 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	other := f.client()
-	other.say(2, "mg k v O1 Pc=read,d=500\r\n") // a connection to the host is open
-	f.stopped(func() {
-		c := f.client()
-		c.say(0, "mg k v O2 Pc=read,d=5000\r\n")
+	other := f.newClient()
+	other.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n") // a connection to the host is open
+	f.whileStopped(func() {
+		c := f.newClient()
+		c.sendAndPrint(0, "mg k v O2 Pc=read,d=5000\r\n")
 		c.Close()
 	})
 	again := "mg k v O3 Pc=read,d=500\r\n"
-	other.say(0, again)
-	fmt.Println("served on:", other.take("value", again)) // behind a stop some ops are nacked
-	fmt.Println("sent on:", f.sent("2"))
-	f.ended("called-off")
+	other.sendAndPrint(0, again)
+	fmt.Println("served on:", other.readValue("value", again)) // behind a stop some ops are nacked
+	fmt.Println("sent on:", f.countPushes("2"))
+	f.stopAndPrintReasons("called-off")
 	// Output:
 	// VA 5 O1
 	// value
@@ -80,17 +80,17 @@
 	f.Serve(l, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		r.ReadString('\n')
-		io.WriteString(c, "VA 100000 O1\r\n"+big[:70000])
+		io.WriteString(c, "VA 100000 O1\r\n"+longValue[:70000])
 		r.ReadString('\n')
 		f.Note("closed")
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(1, "mg k v O1 Pc=read,d=5000\r\n")
+	c := f.newClient()
+	c.sendAndPrint(1, "mg k v O1 Pc=read,d=5000\r\n")
 	began := time.Now()
 	c.Close()
-	f.await("closed", 1)
+	f.awaitNote("closed", 1)
 	fmt.Println("soon:", time.Since(began) < 100*time.Millisecond)
 	// Output:
 	// VA 100000 O1
@@ -103,11 +103,11 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(3, "mg k v O1 Pc=read,d=500\r\n") // the end comes for idleness
-	c.say(0, "mg k v O2 Pc=read,d=500\r\n")
+	c := f.newClient()
+	c.sendAndPrint(3, "mg k v O1 Pc=read,d=500\r\n") // the end comes for idleness
+	c.sendAndPrint(0, "mg k v O2 Pc=read,d=500\r\n")
 	time.Sleep(300 * time.Millisecond)
-	fmt.Println("sent on:", f.sent("2"))
+	fmt.Println("sent on:", f.countPushes("2"))
 	// Output:
 	// VA 5 O1
 	// value
@@ -129,12 +129,12 @@
 		close(begun)
 		<-read
 		n, _ := io.Copy(io.Discard, r)
-		whole <- n >= int64(len(big))
+		whole <- n >= int64(len(longValue))
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(0, fmt.Sprintf("ms w %d O1 Pc=put,d=5000\r\n%s\r\n", len(big), big))
+	c := f.newClient()
+	c.sendAndPrint(0, fmt.Sprintf("ms w %d O1 Pc=put,d=5000\r\n%s\r\n", len(longValue), longValue))
 	<-begun
 	c.Close()
 	time.Sleep(100 * time.Millisecond)
--- a/cmd/larchthread/clients_test.go
+++ b/cmd/larchthread/clients_test.go
@@ -23,10 +23,10 @@
 	answered := 0
 	var all []*client
 	for range 200 {
-		c := f.client()
+		c := f.newClient()
 		all = append(all, c)
 		io.WriteString(c, "mg k v O1 Pc=read,d=500\r\n")
-		if _, err := c.r.ReadString('\n'); err == nil {
+		if _, err := c.reader.ReadString('\n'); err == nil {
 			answered++
 		}
 	}
@@ -48,13 +48,13 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=500\r\n")
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
 	for range 300 {
-		defer f.client().Close()
+		defer f.newClient().Close()
 	}
-	c.say(2, "mg k v O2 Pc=read,d=500\r\n")
-	f.client().say(2, "mg k v O3 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\n")
+	f.newClient().sendAndPrint(2, "mg k v O3 Pc=read,d=500\r\n")
 	// Output:
 	// VA 5 O1
 	// value
@@ -73,17 +73,17 @@
 	defer f.stop()
 	var all []*client
 	for range 40 {
-		c := f.client()
+		c := f.newClient()
 		all = append(all, c)
 		io.WriteString(c, "mg k v O1 Pc=read,d=500\r\n")
-		c.r.ReadString('\n')
-		c.r.ReadString('\n')
+		c.reader.ReadString('\n')
+		c.reader.ReadString('\n')
 	}
 	time.Sleep(20 * time.Millisecond)
 	open := 0
 	for _, c := range all {
 		c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-		if _, err := c.r.ReadByte(); err != io.EOF {
+		if _, err := c.reader.ReadByte(); err != io.EOF {
 			open++
 		}
 	}
@@ -101,13 +101,13 @@
 	})
 	f.start()
 	defer f.stop()
-	c, other := f.client(), f.client()
-	c.say(0, "mg k v O1 Pc=read,d=500\r\n")
-	f.await("a: mg k v O1 Pc=read,d=..", 1)
-	other.say(1, "mg x v O1 Pc=read,d=500\r\n")
-	c.say(2, "")
-	other.say(2, "mg k v O1 Pc=read,d=500\r\n") // it is free again
-	f.heard()
+	c, other := f.newClient(), f.newClient()
+	c.sendAndPrint(0, "mg k v O1 Pc=read,d=500\r\n")
+	f.awaitNote("a: mg k v O1 Pc=read,d=..", 1)
+	other.sendAndPrint(1, "mg x v O1 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "")
+	other.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n") // it is free again
+	f.printNotes()
 	// Output:
 	// CLIENT_ERROR O: "1" is the id of an open op
 	// VA 5 O1
@@ -122,18 +122,18 @@
 // that has fallen silent.
 func Example_leaver() {
 	f := &fleet{}
-	f.Host("a", slowly(30*time.Millisecond))
+	f.Host("a", hitWithSlowKey(30*time.Millisecond))
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(4, "mg slow v O1 Pc=read,d=500\r\nmg slow v O2 Pc=read,d=500\r\n") // two connections
-	gone := f.client()
-	gone.say(0, "mg slow v O3 Pc=read,d=500\r\n")
-	f.await("a: mg slow v O3 Pc=read,d=..", 1)
+	c := f.newClient()
+	c.sendAndPrint(4, "mg slow v O1 Pc=read,d=500\r\nmg slow v O2 Pc=read,d=500\r\n") // two connections
+	gone := f.newClient()
+	gone.sendAndPrint(0, "mg slow v O3 Pc=read,d=500\r\n")
+	f.awaitNote("a: mg slow v O3 Pc=read,d=..", 1)
 	gone.Close()
-	c.say(2, "mg k v O4 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg k v O4 Pc=read,d=500\r\n")
 	c.Close()
-	f.ended("called-off", "host-silent")
+	f.stopAndPrintReasons("called-off", "host-silent")
 	// Output:
 	// VA 5 O1
 	// value
@@ -184,7 +184,7 @@
 	var wrong, late, unanswered atomic.Int64
 	for range 8 {
 		all.Go(func() {
-			c := f.client()
+			c := f.newClient()
 			for i := range 120 {
 				key, began := fmt.Sprintf("k%d", i%10), time.Now()
 				if i%4 == 3 {
@@ -192,9 +192,9 @@
 				} else {
 					fmt.Fprintf(c, "mg %s v O%d Pc=%s,d=300\r\n", key, i, []string{"read", "once"}[i%2])
 				}
-				line, err := c.r.ReadString('\n')
+				line, err := c.reader.ReadString('\n')
 				if strings.HasPrefix(line, "VA") {
-					value, _ := c.r.ReadString('\n')
+					value, _ := c.reader.ReadString('\n')
 					if line != fmt.Sprintf("VA 2 O%d\r\n", i) || value != key+"\r\n" {
 						wrong.Add(1)
 					}
@@ -211,7 +211,7 @@
 		})
 		all.Go(func() {
 			for range 40 {
-				c := f.client()
+				c := f.newClient()
 				io.WriteString(c, []string{"", "mg k1 v O1 Pc=read,d=300\r\n", "ms k1 50 O1 Pc=put,d=300\r\nab", "ms k1 -4 O\r\n",
 					"\x00\xff\r\n", "mg k1 v O1 Pc=read,d=300\r\nms k 9\r\n"}[draw(6)])
 				time.Sleep(time.Duration(draw(20)) * time.Millisecond)
@@ -220,7 +220,7 @@
 		})
 	}
 	all.Wait()
-	f.client().say(1, "mn\r\n")
+	f.newClient().sendAndPrint(1, "mn\r\n")
 	f.stop()
 	fmt.Println(wrong.Load(), "wrong,", late.Load(), "late,", unanswered.Load(), "unanswered")
 	// Output:
@@ -234,20 +234,20 @@
 	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
 	f.start()
 	defer f.stop()
-	c := f.client()
+	c := f.newClient()
 	c.Conn.(*net.TCPConn).SetReadBuffer(1 << 16)
 	for range 60 {
-		c.say(0, "mg k v O1 Pc=read,d=500\r\n")
+		c.sendAndPrint(0, "mg k v O1 Pc=read,d=500\r\n")
 		time.Sleep(3 * time.Millisecond)
 	}
 	answers := 0
 	for range 60 {
-		line, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			break
 		}
 		if answers++; strings.HasPrefix(line, "VA") {
-			c.r.ReadString('\n')
+			c.reader.ReadString('\n')
 		}
 	}
 	fmt.Println(answers, "answers")
@@ -262,18 +262,18 @@
 	f.start()
 	var slow []*client
 	for range 30 {
-		c := f.client()
+		c := f.newClient()
 		c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 		slow = append(slow, c)
 	}
 	for i := range 600 {
-		slow[i%len(slow)].say(0, "mg k v O1 Pc=read,d=500\r\n")
+		slow[i%len(slow)].sendAndPrint(0, "mg k v O1 Pc=read,d=500\r\n")
 		time.Sleep(time.Millisecond)
 	}
-	c := f.client()
-	c.say(1, "mn\r\n")
+	c := f.newClient()
+	c.sendAndPrint(1, "mn\r\n")
 	io.WriteString(c, "mg k v O2 Pc=read,d=500\r\n")
-	line, err := c.r.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	fmt.Println(len(line) > 0, err)
 	f.stop()
 	fmt.Println("closed some:", strings.Count(f.log.String(), "reason=slow-reader") > 0)
@@ -290,13 +290,13 @@
 	f.start()
 	var half []*client
 	for range 300 {
-		c := f.client()
+		c := f.newClient()
 		io.WriteString(c, "ms k 65000 O1 Pc=put,d=500\r\n"+strings.Repeat("x", 64000))
 		half = append(half, c)
 	}
-	c, ask := f.client(), "mg k v O2 Pc=read,d=500\r\n"
-	c.say(0, ask)
-	fmt.Println("served:", c.take("value", ask)) // at first it may be late by the reading of the others, and nack
+	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
+	c.sendAndPrint(0, ask)
+	fmt.Println("served:", c.readValue("value", ask)) // at first it may be late by the reading of the others, and nack
 	f.stop()
 	fmt.Println("closed some:", strings.Count(f.log.String(), "reason=half-sent") > 0, len(half))
 	// Output:
--- a/cmd/larchthread/commands.go
+++ b/cmd/larchthread/commands.go
@@ -17,17 +17,17 @@
 
 // Exit codes.
 const (
-	exitFound = 1 // what was asked about is refused, or differs; the balancer could not serve
-	exitUsage = 2 // called wrongly, or a file to compare can't be used
+	exitFailure = 1 // what was asked about is refused, or differs; the balancer could not serve
+	exitUsage   = 2 // called wrongly, or a file to compare can't be used
 )
 
-// exit is an error that has been told already; only the code is left.
-type exit int
+// exitError is an error that has been told already; only the code is left.
+type exitError int
 
-func (e exit) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
+func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// command is the program's command line. Without a word it serves, as it did before there were words.
-func command() *cobra.Command {
+// newRootCommand is the program's command line. Without a word it serves, as it did before there were words.
+func newRootCommand() *cobra.Command {
 	own := ""
 	run := func(c *cobra.Command, _ []string) error {
 		path, set := os.LookupEnv("RELAY_CONFIG")
@@ -37,7 +37,7 @@
 		}
 		if err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
-			return exit(exitFound)
+			return exitError(exitFailure)
 		}
 		return nil
 	}
@@ -60,12 +60,12 @@
 			"own file, and the inventory that it names is looked at too, or for a control file where it has the key control;\n" +
 			"any other is taken for a start file.",
 		Args: cobra.MinimumNArgs(1), Example: "  larchthread config check /run/balancer/config.json deploy/own.yaml deploy/control.yaml",
-		RunE: func(c *cobra.Command, files []string) error { return check(c, files, checkConfig) }})
+		RunE: func(c *cobra.Command, files []string) error { return check(c, files, checkConfigFile) }})
 	return c
 }
 
-// checkConfig reads a start file or an own file, and says what it holds.
-func checkConfig(file string) (string, error) {
+// checkConfigFile reads a start file or an own file, and says what it holds.
+func checkConfigFile(file string) (string, error) {
 	if ext := strings.ToLower(filepath.Ext(file)); ext != ".yaml" && ext != ".yml" {
 		told, err := params.ReadStartFile(file)
 		if err != nil {
@@ -74,7 +74,7 @@
 		return fmt.Sprintf("a start file, listens on %v, categories: %d", told.Listen, len(told.Params.Categories)), nil
 	}
 	if text, err := os.ReadFile(file); err == nil && isControlFile(text) {
-		return checkControl(file)
+		return checkControlFile(file)
 	}
 	own, err := params.ReadOperatorFile(file)
 	switch {
@@ -100,7 +100,7 @@
 		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", f, found)
 	}
 	if bad {
-		return exit(exitFound)
+		return exitError(exitFailure)
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
 				fmt.Fprintln(c.ErrOrStderr(), "larchthread: built without information on the build")
-				return exit(exitFound)
+				return exitError(exitFailure)
 			}
 			fmt.Fprintln(c.OutOrStdout(), version(info))
 			return nil
@@ -154,7 +154,7 @@
 					hosts, err := inventory.Load(f)
 					if err != nil {
 						fmt.Fprintln(c.ErrOrStderr(), err)
-						return exit(exitUsage)
+						return exitError(exitUsage)
 					}
 					lists[i] = hosts
 				}
@@ -163,7 +163,7 @@
 					fmt.Fprintln(c.OutOrStdout(), x)
 				}
 				if len(changes) > 0 {
-					return exit(exitFound)
+					return exitError(exitFailure)
 				}
 				return nil
 			}})
@@ -173,7 +173,7 @@
 // execute runs the command line and returns the exit code.
 func execute(c *cobra.Command) int {
 	err := c.Execute()
-	var code exit
+	var code exitError
 	switch {
 	case err == nil:
 		return 0
--- a/cmd/larchthread/commands_test.go
+++ b/cmd/larchthread/commands_test.go
@@ -38,7 +38,7 @@
 	for _, line := range []string{"inventory check one.csv two.yaml", "inventory check one.csv bad.csv none.csv", "inventory diff one.csv two.yaml",
 		"inventory diff one.csv one.csv", "inventory diff one.csv bad.csv", "inventory diff one.csv", "inventory", "fly", "serve now",
 		"config check ok.json own.yaml", "config check ill.json ill.yml low.yaml far.yaml cut.json", "config", "serve"} {
-		c := command()
+		c := newRootCommand()
 		var said bytes.Buffer
 		var words []string
 		for _, w := range strings.Fields(line) {
@@ -131,14 +131,14 @@
 	}
 	defer os.RemoveAll(dir)
 	own, list := filepath.Join(dir, "own.yaml"), filepath.Join(dir, "fleet.csv")
-	f := &fleet{admin: freeAddress(), args: []string{"serve", "--own", own}}
+	f := &fleet{adminAddress: freeAddress(), args: []string{"serve", "--own", own}}
 	varied := func(words []string) string {
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
 	}
 	f.Host("a", varied)
 	f.Host("b", varied)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	line := func(i int, kind string) string {
 		at := regexp.MustCompile(`"id":"(.*?)","host_port":"(.*?)"`).FindStringSubmatch(f.Members[i])
 		return fmt.Sprintf("%s,%s,z,%s\n", at[1], at[2], kind)
@@ -154,7 +154,7 @@
 	f.start()
 	defer f.stop()
 	hosts := func() string {
-		return regexp.MustCompile("known_cache_hosts:[0-9]+").FindString(f.call("GET", "/status/metrics", ""))
+		return regexp.MustCompile("known_cache_hosts:[0-9]+").FindString(f.callAdmin("GET", "/status/metrics", ""))
 	}
 	soon := func(want string) bool {
 		for range 100 {
@@ -166,7 +166,7 @@
 		return false
 	}
 	fmt.Println(soon("known_cache_hosts:2"))
-	done := f.load(6)
+	done := f.startLoad(6)
 	partial := 0
 	for i := range 1500 {
 		torn := text[:i%len(text)]
--- a/cmd/larchthread/control.go
+++ b/cmd/larchthread/control.go
@@ -47,7 +47,7 @@
 		RunE: func(command *cobra.Command, _ []string) error {
 			if err := runControl(path, command.InOrStdin(), command.OutOrStdout()); err != nil {
 				fmt.Fprintln(command.ErrOrStderr(), "larchthread:", err)
-				return exit(exitFound)
+				return exitError(exitFailure)
 			}
 			return nil
 		},
@@ -64,11 +64,11 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more must not end the program
-	options, err := readControl(path)
+	options, err := readControlFile(path)
 	if err != nil {
 		return err
 	}
-	sink := newSink(os.Stderr)
+	sink := newAsyncLogWriter(os.Stderr)
 	defer sink.close()
 	options.Log = slog.New(slog.NewTextHandler(sink, nil)).With("id", options.Feed.ID, "role", options.Feed.Role.String())
 	lines := newLineWriter(output)
--- a/cmd/larchthread/control_checker_test.go
+++ b/cmd/larchthread/control_checker_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// ask notes that a change is about to be published.
-func (p *publishedChanges) ask(kind, key, value string) {
+// addRequested notes that a change is about to be published.
+func (p *publishedChanges) addRequested(kind, key, value string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.asked[kind+" "+changeText(kind, key, value)] = true
@@ -66,15 +66,15 @@
 // eventChecker goes through a follower's lines from its start on. It finds versions that are lost, come twice, come out of
 // order, or differ from what was published.
 type eventChecker struct {
-	published *publishedChanges
-	at        map[string]feed.Position          // by kind: how far it has come
-	applied   map[string]map[feed.Position]bool // by kind: versions that came by themselves
-	seen      map[string]feed.Position          // by kind and text: no two changes of a test are alike
-	state     map[string]string                 // settings by key, quoted as they were printed
-	sets      int                               // of prefixes that have come
-	resets    int                               // that have come
-	fresh     bool
-	stales    int // how often it became stale
+	published  *publishedChanges
+	at         map[string]feed.Position          // by kind: how far it has come
+	applied    map[string]map[feed.Position]bool // by kind: versions that came by themselves
+	seen       map[string]feed.Position          // by kind and text: no two changes of a test are alike
+	settings   map[string]string                 // settings by key, quoted as they were printed
+	setCount   int                               // of prefixes that have come
+	resetCount int                               // that have come
+	fresh      bool
+	staleCount int // how often it became stale
 }
 
 func newEventChecker(published *publishedChanges) *eventChecker {
@@ -83,12 +83,12 @@
 		at:        make(map[string]feed.Position),
 		applied:   map[string]map[feed.Position]bool{"settings": {}, "purges": {}},
 		seen:      make(map[string]feed.Position),
-		state:     make(map[string]string),
+		settings:  make(map[string]string),
 	}
 }
 
-// take takes a line.
-func (c *eventChecker) take(line string) error {
+// checkLine takes a line.
+func (c *eventChecker) checkLine(line string) error {
 	c.published.mu.Lock()
 	defer c.published.mu.Unlock()
 	words := strings.SplitN(line, " ", 4)
@@ -99,7 +99,7 @@
 		c.fresh = true
 	case "stale":
 		c.fresh = false
-		c.stales++
+		c.staleCount++
 	case "applied":
 		err = c.takeApplied(words[1], words[2], words[3])
 	case "snapshot", "set", "reset":
@@ -141,7 +141,7 @@
 	c.seen[kind+" "+text] = position
 	if kind == "settings" {
 		key, value, _ := strings.Cut(text, " ")
-		c.state[key] = value
+		c.settings[key] = value
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 	case "set":
 		return c.takeSet(kind, first, last, rest)
 	case "reset":
-		c.resets++
+		c.resetCount++
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 
 // takeSet takes a set of prefixes: it has to cover all purges that were acknowledged in between.
 func (c *eventChecker) takeSet(kind string, first, last feed.Position, rest string) error {
-	c.sets++
+	c.setCount++
 	bits, list, _ := strings.Cut(rest, " ")
 	width, err := strconv.Atoi(bits)
 	if err != nil {
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// current tells whether all that was acknowledged has come.
-func (c *eventChecker) current() bool {
+// isCurrent tells whether all that was acknowledged has come.
+func (c *eventChecker) isCurrent() bool {
 	c.published.mu.Lock()
 	defer c.published.mu.Unlock()
 	for kind, last := range c.published.last {
@@ -223,8 +223,8 @@
 	return true
 }
 
-// missing counts the acknowledged changes that have not come by themselves.
-func (c *eventChecker) missing() int {
+// countMissing counts the acknowledged changes that have not come by themselves.
+func (c *eventChecker) countMissing() int {
 	c.published.mu.Lock()
 	defer c.published.mu.Unlock()
 	count := 0
--- a/cmd/larchthread/control_config.go
+++ b/cmd/larchthread/control_config.go
@@ -102,9 +102,9 @@
 	return is
 }
 
-// readControl reads a control file. A path in it is taken from the file's directory. An error names every fault, each with
+// readControlFile reads a control file. A path in it is taken from the file's directory. An error names every fault, each with
 // its key.
-func readControl(path string) (feednet.Options, error) {
+func readControlFile(path string) (feednet.Options, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return feednet.Options{}, fmt.Errorf("control file: %w", err)
@@ -122,9 +122,9 @@
 	return section.options(filepath.Dir(path)), nil
 }
 
-// checkControl reads a control file, and says what it holds.
-func checkControl(path string) (string, error) {
-	options, err := readControl(path)
+// checkControlFile reads a control file, and says what it holds.
+func checkControlFile(path string) (string, error) {
+	options, err := readControlFile(path)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/larchthread/control_config_test.go
+++ b/cmd/larchthread/control_config_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	var output bytes.Buffer
-	c := command()
+	c := newRootCommand()
 	c.SetArgs([]string{"config", "check", path})
 	c.SetOut(&output)
 	c.SetErr(&output)
@@ -64,7 +64,7 @@
 			}
 			continue
 		}
-		if code != exitFound || len(lines) != len(c.want) {
+		if code != exitFailure || len(lines) != len(c.want) {
 			t.Errorf("%s: exit code %d, want %d faults:\n%s", c.text, code, len(c.want), said)
 			continue
 		}
--- a/cmd/larchthread/control_fleet_test.go
+++ b/cmd/larchthread/control_fleet_test.go
@@ -31,23 +31,23 @@
 	address     string // empty for a follower
 	process     *exec.Cmd
 	input       io.WriteCloser
-	log         processLog
-	read        chan struct{} // closed when the process's output has ended
+	log         logBuffer
+	outputEnded chan struct{} // closed when the process's output has ended
 
 	mu    sync.Mutex
 	lines []string // of output, since the process's start
 }
 
-// controlTest is a cluster: a publisher, two relays, six followers, and links between them.
-type controlTest struct {
-	t         *testing.T
-	directory string
-	publisher *controlNode
-	relays    map[string]*controlNode
-	followers map[string]*controlNode
-	links     map[string]*trial.Link             // to the publisher, by relay
-	targets   map[string]*atomic.Pointer[string] // the publisher's address that a relay's link leads to
-	published *publishedChanges
+// controlCluster is a cluster: a publisher, two relays, six followers, and links between them.
+type controlCluster struct {
+	t           *testing.T
+	directory   string
+	publisher   *controlNode
+	relays      map[string]*controlNode
+	followers   map[string]*controlNode
+	links       map[string]*trial.Link             // to the publisher, by relay
+	linkTargets map[string]*atomic.Pointer[string] // the publisher's address that a relay's link leads to
+	published   *publishedChanges
 }
 
 // Relays, and followers with their relays by preference. Two followers have one relay alone.
@@ -58,15 +58,15 @@
 	}
 )
 
-// startControl starts the cluster, and returns once all followers are up to date.
-func startControl(t *testing.T) *controlTest {
+// startControlCluster starts the cluster, and returns once all followers are up to date.
+func startControlCluster(t *testing.T) *controlCluster {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("it starts nine processes")
 	}
-	c := &controlTest{
+	c := &controlCluster{
 		t: t, directory: t.TempDir(), relays: make(map[string]*controlNode), followers: make(map[string]*controlNode),
-		links: make(map[string]*trial.Link), targets: make(map[string]*atomic.Pointer[string]),
+		links: make(map[string]*trial.Link), linkTargets: make(map[string]*atomic.Pointer[string]),
 		published: newPublishedChanges(),
 	}
 	c.publisher = c.newNode("publisher", freeAddress(), "role: publisher, epoch: 1, directory: "+c.directory)
@@ -74,7 +74,7 @@
 	for n, name := range controlRelays {
 		target := &atomic.Pointer[string]{}
 		target.Store(&c.publisher.address)
-		c.targets[name] = target
+		c.linkTargets[name] = target
 		link, err := trial.OpenLink(name, "publisher", "127.0.0.1", net.ParseIP("127.0.0.9"), uint64(n+1),
 			func() string { return *target.Load() })
 		if err != nil {
@@ -99,7 +99,7 @@
 }
 
 // newNode writes a node's control file. Waits are shorter than usual so that a test does not take long.
-func (c *controlTest) newNode(name, address, more string) *controlNode {
+func (c *controlCluster) newNode(name, address, more string) *controlNode {
 	c.t.Helper()
 	if address != "" {
 		more += fmt.Sprintf(", listen: %q", address)
@@ -132,8 +132,8 @@
 	if err := process.Start(); err != nil {
 		n.t.Fatal(err)
 	}
-	n.process, n.input, n.read = process, input, make(chan struct{})
-	go n.readLines(output, n.read)
+	n.process, n.input, n.outputEnded = process, input, make(chan struct{})
+	go n.readLines(output, n.outputEnded)
 	n.waitFor("it is ready", func(lines []string) bool {
 		return len(lines) > 0 && lines[0] == strings.TrimSpace("ready "+n.address)
 	})
@@ -146,12 +146,12 @@
 	return command
 }
 
-// fails runs a process that is to end by itself, with an error.
-func (n *controlNode) fails() (said string, err error) {
+// runToFailure runs a process that is to end by itself, with an error.
+func (n *controlNode) runToFailure() (said string, err error) {
 	n.t.Helper()
 	text, err := n.command().CombinedOutput()
-	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitFound {
-		n.t.Errorf("%s: %v, want exit code %d", n.name, err, exitFound)
+	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitFailure {
+		n.t.Errorf("%s: %v, want exit code %d", n.name, err, exitFailure)
 	}
 	return string(text), err
 }
@@ -206,7 +206,7 @@
 func (n *controlNode) kill() {
 	n.t.Helper()
 	n.signal(syscall.SIGKILL)
-	<-n.read
+	<-n.outputEnded
 	n.process.Wait()
 	n.process = nil
 }
@@ -215,7 +215,7 @@
 func (n *controlNode) terminate() {
 	n.t.Helper()
 	n.signal(syscall.SIGTERM)
-	<-n.read
+	<-n.outputEnded
 	if err := n.process.Wait(); err != nil {
 		n.t.Errorf("%s: after SIGTERM: %v\n%s", n.name, err, &n.log)
 	}
@@ -226,17 +226,17 @@
 func (n *controlNode) end() {
 	if n.process != nil {
 		n.process.Process.Kill()
-		<-n.read
+		<-n.outputEnded
 		n.process.Wait()
 	}
 }
 
 // checker checks a follower's lines as far as they have come, from its start on.
-func (c *controlTest) checker(name string) *eventChecker {
+func (c *controlCluster) checker(name string) *eventChecker {
 	c.t.Helper()
 	checker := newEventChecker(c.published)
 	for _, line := range c.followers[name].output() {
-		if err := checker.take(line); err != nil {
+		if err := checker.checkLine(line); err != nil {
 			c.t.Fatalf("%s: %v", name, err)
 		}
 	}
@@ -244,7 +244,7 @@
 }
 
 // waitAll waits until a condition holds for the named followers, or all of them.
-func (c *controlTest) waitAll(what string, holds func(*eventChecker) bool, names ...string) {
+func (c *controlCluster) waitAll(what string, holds func(*eventChecker) bool, names ...string) {
 	c.t.Helper()
 	if len(names) == 0 {
 		for name := range c.followers {
@@ -257,7 +257,7 @@
 }
 
 // waitCurrent waits until followers have all that was acknowledged, and know that it is fresh.
-func (c *controlTest) waitCurrent(names ...string) {
+func (c *controlCluster) waitCurrent(names ...string) {
 	c.t.Helper()
-	c.waitAll("it is current", func(checker *eventChecker) bool { return checker.fresh && checker.current() }, names...)
+	c.waitAll("it is current", func(checker *eventChecker) bool { return checker.fresh && checker.isCurrent() }, names...)
 }
--- a/cmd/larchthread/control_spoilt_test.go
+++ b/cmd/larchthread/control_spoilt_test.go
@@ -16,7 +16,7 @@
 // acknowledged, and goes on.
 func TestSpoiltPublisher(t *testing.T) {
 	for _, how := range []string{"write", "sync", "full"} {
-		c := &controlTest{t: t, directory: t.TempDir()}
+		c := &controlCluster{t: t, directory: t.TempDir()}
 		publisher := c.newNode("publisher", freeAddress(), "role: publisher, epoch: 1, directory: "+c.directory)
 		socket := filepath.Join(c.directory, "faults")
 		publisher.environment = []string{"LARCHTHREAD_FAULTS=" + socket}
@@ -35,9 +35,9 @@
 		answer("settings key first", "ok 1/1")
 		spoilDisk(t, socket, how)
 		answer("settings key second", "error feednet: publisher's log: ")
-		<-publisher.read
-		if err := publisher.process.Wait(); err == nil || publisher.process.ProcessState.ExitCode() != exitFound {
-			t.Errorf("disk %s: it ended with %v, want exit code %d", how, err, exitFound)
+		<-publisher.outputEnded
+		if err := publisher.process.Wait(); err == nil || publisher.process.ProcessState.ExitCode() != exitFailure {
+			t.Errorf("disk %s: it ended with %v, want exit code %d", how, err, exitFailure)
 		}
 		publisher.process = nil
 		publisher.start()
--- a/cmd/larchthread/control_test.go
+++ b/cmd/larchthread/control_test.go
@@ -41,17 +41,17 @@
 
 // publishing is changes on their way through the publisher's standard input.
 type publishing struct {
-	control *controlTest
+	control *controlCluster
 	changes []testChange
 	first   int // of its answers among the publisher's lines
 	written chan struct{}
 }
 
 // startPublishing sends the publisher changes without waiting for its answers.
-func (c *controlTest) startPublishing(changes []testChange) *publishing {
+func (c *controlCluster) startPublishing(changes []testChange) *publishing {
 	p := &publishing{control: c, changes: changes, first: len(c.publisher.output()), written: make(chan struct{})}
 	for _, change := range changes {
-		c.published.ask(change.kind, change.key, change.value)
+		c.published.addRequested(change.kind, change.key, change.value)
 	}
 	input := c.publisher.input
 	go func() {
@@ -89,7 +89,7 @@
 }
 
 // publish publishes changes and waits for all answers.
-func (c *controlTest) publish(changes []testChange) {
+func (c *controlCluster) publish(changes []testChange) {
 	c.t.Helper()
 	p := c.startPublishing(changes)
 	p.waitAnswers(len(changes))
@@ -97,21 +97,21 @@
 }
 
 // checkComplete has no acknowledged change missing at followers that were never too far behind for single changes.
-func (c *controlTest) checkComplete(names ...string) {
+func (c *controlCluster) checkComplete(names ...string) {
 	c.t.Helper()
 	for _, name := range names {
-		if missing := c.checker(name).missing(); missing > 0 {
+		if missing := c.checker(name).countMissing(); missing > 0 {
 			c.t.Errorf("%s: %d changes did not come by themselves", name, missing)
 		}
 	}
 }
 
 // checkSettings compares what all followers have of settings with the latest that were acknowledged.
-func (c *controlTest) checkSettings() {
+func (c *controlCluster) checkSettings() {
 	c.t.Helper()
 	want := c.published.latestSettings()
 	for name := range c.followers {
-		if got := c.checker(name).state; !maps.Equal(got, want) {
+		if got := c.checker(name).settings; !maps.Equal(got, want) {
 			c.t.Errorf("%s has the settings %v, want %v", name, got, want)
 		}
 	}
@@ -120,7 +120,7 @@
 // A relay is killed while changes flow: its followers go on with the other one, and miss nothing. Once it is back its
 // other follower has caught up, too.
 func TestControlRelayKilled(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	c.publish(testChanges("before", 40))
 	c.waitCurrent()
 	amid := c.startPublishing(testChanges("amid", 100))
@@ -139,7 +139,7 @@
 // The link between a relay and the publisher fails, by resets and by silence. A follower that has this relay alone knows
 // that it is stale, though the relay lives; those with a second one are current by it. After the heal all are.
 func TestControlRelayCutOff(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	link := c.links["a"]
 	hole := func(on bool) {
 		link.Set(trial.Out, trial.Impairment{Hole: on})
@@ -149,10 +149,10 @@
 		name string
 		set  func(on bool)
 	}{{"cut", link.Cut}, {"hole", hole}} {
-		stales := c.checker("onlya").stales
+		stales := c.checker("onlya").staleCount
 		fault.set(true)
 		c.publish(testChanges(fault.name, 100))
-		c.waitAll("it is stale", func(checker *eventChecker) bool { return !checker.fresh && checker.stales > stales }, "onlya")
+		c.waitAll("it is stale", func(checker *eventChecker) bool { return !checker.fresh && checker.staleCount > stales }, "onlya")
 		c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
 		fault.set(false)
 		c.waitCurrent()
@@ -163,7 +163,7 @@
 
 // More is published during a cut than a follower is sent one by one. What it gets instead covers all of it.
 func TestControlFarBehind(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	c.publish(testChanges("before", 40)) // who knows nothing gets a reset in place of sets
 	c.waitCurrent()
 	c.links["a"].Cut(true)
@@ -172,14 +172,14 @@
 	c.links["a"].Cut(false)
 	c.waitCurrent()
 	c.checkSettings()
-	if checker := c.checker("onlya"); checker.sets == 0 || checker.resets > 0 {
-		t.Errorf("the follower that was cut off got %d sets of prefixes, want some, and %d resets, want none", checker.sets, checker.resets)
+	if checker := c.checker("onlya"); checker.setCount == 0 || checker.resetCount > 0 {
+		t.Errorf("the follower that was cut off got %d sets of prefixes, want some, and %d resets, want none", checker.setCount, checker.resetCount)
 	}
 }
 
 // A relay is stopped and woken again, with changes meanwhile.
 func TestControlRelayFrozen(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	c.publish(testChanges("before", 40))
 	c.waitCurrent()
 	c.relays["a"].signal(syscall.SIGSTOP)
@@ -197,7 +197,7 @@
 // The publisher is killed amid publishing, twice, and goes on from its log: each change that it has acknowledged comes to
 // all followers, none twice. Links to it are slow, and one breaks amid a message.
 func TestControlPublisherKilled(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	slow := trial.Impairment{Delay: milliseconds(30), Jitter: milliseconds(10)}
 	for _, name := range controlRelays {
 		c.links[name].Set(trial.Back, slow)
@@ -217,7 +217,7 @@
 }
 
 // breakAmidMessage has connections from a relay to the publisher break some bytes after their begin, and waits until one has.
-func (c *controlTest) breakAmidMessage(relay string) {
+func (c *controlCluster) breakAmidMessage(relay string) {
 	c.t.Helper()
 	const bytes = 300
 	lost := func() int { return strings.Count(c.relays[relay].log.String(), "connection lost") }
@@ -228,7 +228,7 @@
 
 // All processes end in good order and are started again, followers first. The settings are there again, and changes flow.
 func TestControlAllRestarted(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	c.publish(testChanges("before", 60))
 	c.waitCurrent()
 	var nodes []*controlNode
@@ -252,7 +252,7 @@
 // Another publisher with a higher epoch goes on from a copy of the log. The old one, back again, is refused by whoever knows
 // the new one, and can publish nothing more.
 func TestControlPublisherReplaced(t *testing.T) {
-	c := startControl(t)
+	c := startControlCluster(t)
 	c.publish(testChanges("first", 40))
 	c.waitCurrent()
 	old := c.publisher
@@ -267,12 +267,12 @@
 	}
 	c.publisher = c.newNode("second", freeAddress(), "role: publisher, epoch: 2, directory: "+directory)
 	c.publisher.start()
-	for _, target := range c.targets {
+	for _, target := range c.linkTargets {
 		target.Store(&c.publisher.address)
 	}
 	c.publish(testChanges("second", 40))
 	c.waitCurrent()
-	c.targets["a"].Store(&old.address)
+	c.linkTargets["a"].Store(&old.address)
 	old.start()
 	c.links["a"].Cut(true)
 	c.links["a"].Cut(false)
@@ -284,7 +284,7 @@
 	})
 	c.publish(testChanges("third", 40))
 	c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
-	c.targets["a"].Store(&c.publisher.address)
+	c.linkTargets["a"].Store(&c.publisher.address)
 	c.waitCurrent()
 	c.checkComplete("f1", "f2", "f3", "f4", "onlyb")
 	c.checkSettings()
@@ -292,7 +292,7 @@
 
 // The publisher answers each line, also those that it can't use, and a second one does not start on its log.
 func TestControlPublisherLines(t *testing.T) {
-	c := &controlTest{t: t, directory: t.TempDir()}
+	c := &controlCluster{t: t, directory: t.TempDir()}
 	publisher := c.newNode("publisher", freeAddress(), "role: publisher, epoch: 3, directory: "+c.directory)
 	publisher.start()
 	lines := []string{"settings limit 5 per host", "purges object", "settings limit", "purges two words", "fly", "",
@@ -309,7 +309,7 @@
 		}
 	}
 	second := c.newNode("second", freeAddress(), "role: publisher, epoch: 4, directory: "+c.directory)
-	if said, err := second.fails(); !strings.Contains(said, "in use by another publisher") {
+	if said, err := second.runToFailure(); !strings.Contains(said, "in use by another publisher") {
 		t.Errorf("a second publisher: %v\n%s", err, said)
 	}
 	if err := publisher.input.Close(); err != nil { // as where standard input is /dev/null
--- a/cmd/larchthread/discovery_test.go
+++ b/cmd/larchthread/discovery_test.go
@@ -19,13 +19,13 @@
 
 // Lists are asked for also where the settings say that they are pushed: what discovery has is told to those who watch.
 func Example_pushedLists() {
-	f := &fleet{sets: setting(`"discovery":"on_request"`, `"discovery":"pushed"`)}
+	f := &fleet{settings: replaceSetting(`"discovery":"on_request"`, `"discovery":"pushed"`)}
 	f.Host("a", hit)
 	f.start() // the watch stands
 	defer f.stop()
-	f.drain()
-	f.await("discovery: 2", 1)
-	f.client().say(1, "mg k v O1 Pc=read,d=100\r\n")
+	f.drainFirstHost()
+	f.awaitNote("discovery: 2", 1)
+	f.newClient().sendAndPrint(1, "mg k v O1 Pc=read,d=100\r\n")
 	// Output:
 	// SERVER_ERROR busy ..
 }
@@ -39,9 +39,9 @@
 		f.start()
 		f.Changed <- standin.List(revision, false)
 		f.Changed <- standin.List(9, true, strings.Replace(f.Members[0], "in_service", "terminating", 1))
-		f.await("discovery: ", 1)
-		f.await("discovery: 9", 1)
-		f.client().say(1, "mg k v O1 Pc=read,d=100\r\n")
+		f.awaitNote("discovery: ", 1)
+		f.awaitNote("discovery: 9", 1)
+		f.newClient().sendAndPrint(1, "mg k v O1 Pc=read,d=100\r\n")
 		f.stop()
 	}
 	// Output:
@@ -79,31 +79,31 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
-	f.limits, f.sets, f.logTo = `{"cores":1,"memory_mb":64,"sockets":128}`, settings, io.Discard
+	f.limits, f.settings, f.logOutput = `{"cores":1,"memory_mb":64,"sockets":128}`, defaultSettings, io.Discard
 	usual := filepath.Join(os.TempDir(), fmt.Sprintf("larchthread-thirty-%d", os.Getpid()))
 	var all [30]*exec.Cmd
 	began := time.Now()
 	var listens [30]string
 	for i := range all {
-		f.path, f.listen = fmt.Sprint(usual, "-", i), freeAddress()
-		listens[i] = f.listen
-		f.write(l.Addr().String())
-		defer os.Remove(f.path)
-		all[i] = f.run()
+		f.configPath, f.listenAddress = fmt.Sprint(usual, "-", i), freeAddress()
+		listens[i] = f.listenAddress
+		f.writeConfig(l.Addr().String())
+		defer os.Remove(f.configPath)
+		all[i] = f.startProcess()
 		defer all[i].Wait()
 		defer all[i].Process.Kill()
 	}
 	ready := 0
-	for _, f.listen = range listens {
-		reach(f.listen)
-		c := f.client()
+	for _, f.listenAddress = range listens {
+		waitForListener(f.listenAddress)
+		c := f.newClient()
 		io.WriteString(c, "mn\r\n")
-		if line, _ := c.r.ReadString('\n'); line == "MN\r\n" && time.Since(began) < 10*time.Second {
+		if line, _ := c.reader.ReadString('\n'); line == "MN\r\n" && time.Since(began) < 10*time.Second {
 			ready++
 		}
 		c.Close()
 	}
-	f.await("told", 30)
+	f.awaitNote("told", 30)
 	fmt.Println(ready, "ready, all told in time:", time.Since(began) < 7*time.Second) // a second for their starts
 	f.Close()
 	// Output:
@@ -122,14 +122,14 @@
 		f.Note("called in vain")
 		io.Copy(io.Discard, c)
 	})
-	f.write(hangs.Addr().String())
+	f.writeConfig(hangs.Addr().String())
 	f.process.Process.Signal(syscall.SIGHUP)
-	f.await("called in vain", 1)
+	f.awaitNote("called in vain", 1)
 	began := time.Now()
-	f.write(f.watched)
+	f.writeConfig(f.discoveryAddress)
 	f.process.Process.Signal(syscall.SIGHUP)
-	f.drain()
-	f.await("discovery: 2", 1)
+	f.drainFirstHost()
+	f.awaitNote("discovery: 2", 1)
 	fmt.Println("at once:", time.Since(began) < time.Second)
 	// Output:
 	// at once: true
--- a/cmd/larchthread/handover_failures_test.go
+++ b/cmd/larchthread/handover_failures_test.go
@@ -9,29 +9,29 @@
 
 // A process that is told to stop while it hands over, or while it is handed over to, ends in good order, and serves until then.
 func Example_stopAmidHandOver() {
-	f, remove := newHandOverFleet("amid")
+	f, remove := newHandoverFleet("amid")
 	defer remove()
-	f.Host("a", slowly(100*time.Millisecond))
-	f.Origin(fetch)
+	f.Host("a", hitWithSlowKey(100*time.Millisecond))
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	successor := f.dialControl(1)
+	successor := f.dialHandover(1)
 	successor.receive() // it has begun
-	c := f.client()
-	c.say(0, "mg slow v O1 Pc=read,d=590\r\n")
-	f.await("a: mg slow v O1 Pc=read,d=..", 1)
+	c := f.newClient()
+	c.sendAndPrint(0, "mg slow v O1 Pc=read,d=590\r\n")
+	f.awaitNote("a: mg slow v O1 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGTERM)
-	c.say(2, "")
+	c.sendAndPrint(2, "")
 	fmt.Println("the old one:", f.process.Wait())
 	successor.Close()
 
-	l := f.listenControl()
+	l := f.listenHandover()
 	defer l.Close()
-	f.admin = freeAddress()
-	f.write(f.watched)
-	f.process = f.run()
+	f.adminAddress = freeAddress()
+	f.writeConfig(f.discoveryAddress)
+	f.process = f.startProcess()
 	old, _ := l.Accept()
-	controlChannel{old}.receive()
+	handoverChannel{old}.receive()
 	f.process.Process.Signal(syscall.SIGTERM)
 	began := time.Now()
 	fmt.Println("the new one:", f.process.Wait(), "soon:", time.Since(began) < 2*time.Second)
@@ -44,15 +44,15 @@
 
 // A process that is to take over and dies behind any of the messages, before its yes or after it, leaves the running one serving.
 func Example_successorDiesAnywhere() {
-	f, remove := newHandOverFleet("anywhere")
+	f, remove := newHandoverFleet("anywhere")
 	defer remove()
 	f.Host("a", hit)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	kept := f.client()
+	kept := f.newClient()
 	for last := 0; ; last++ {
-		successor := f.dialControl(1)
+		successor := f.dialHandover(1)
 		successor.SetDeadline(time.Now().Add(time.Second))
 		said := ""
 		for range last {
@@ -69,11 +69,11 @@
 		for strings.Count(f.log.String(), "is gone") <= last {
 			time.Sleep(time.Millisecond)
 		}
-		kept.say(0, fmt.Sprintf("mg k v Okept%d Pc=read,d=500\r\n", last))
-		fmt.Println(kept.take("value", ""), f.call("GET", "/status", ""))
-		c := f.client()
-		c.say(0, fmt.Sprintf("mg k v Onew%d Pc=read,d=500\r\n", last))
-		if !c.take("value", "") {
+		kept.sendAndPrint(0, fmt.Sprintf("mg k v Okept%d Pc=read,d=500\r\n", last))
+		fmt.Println(kept.readValue("value", ""), f.callAdmin("GET", "/status", ""))
+		c := f.newClient()
+		c.sendAndPrint(0, fmt.Sprintf("mg k v Onew%d Pc=read,d=500\r\n", last))
+		if !c.readValue("value", "") {
 			fmt.Println("not served behind message", last)
 		}
 		c.Close()
@@ -81,8 +81,8 @@
 			break
 		}
 	}
-	f.upgrade()
-	f.client().say(2, "mg k v O1 Pc=read,d=500\r\n")
+	f.upgradeAndPrint()
+	f.newClient().sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
 	// Output:
 	// true 200 serving
 	// true 200 serving
--- a/cmd/larchthread/host_connections_test.go
+++ b/cmd/larchthread/host_connections_test.go
@@ -16,17 +16,17 @@
 // pushes may not be called off: it has not been sent yet, so its op is nacked and not dead-lettered.
 func Example_lateConnection() {
 	for _, leave := range []bool{true, false} {
-		f, h := slowToConnect(strings.ReplaceAll(settings, `"tardyBenefit":0.5`, `"tardyBenefit":0`)) // an op is settled with its target
-		h.hold()
-		c := f.client()
-		c.say(0, "mg k v O1 Pc=once,d=2500\r\n")
+		f, h := startSlowConnectFleet(strings.ReplaceAll(defaultSettings, `"tardyBenefit":0.5`, `"tardyBenefit":0`)) // an op is settled with its target
+		h.fillBacklog()
+		c := f.newClient()
+		c.sendAndPrint(0, "mg k v O1 Pc=once,d=2500\r\n")
 		if leave {
 			time.Sleep(50 * time.Millisecond)
 			c.Close()
 		} else {
-			c.say(1, "")
+			c.sendAndPrint(1, "")
 		}
-		h.letIn()
+		h.acceptAndPrint()
 		f.stop()
 	}
 	// Output:
@@ -38,10 +38,10 @@
 // A repeat of a deduplicated op is not written once the time in which repeats are dropped may be over: its connection may have
 // come up late.
 func Example_repeatBehindItsWindow() {
-	f, h := slowToConnect(settings)
+	f, h := startSlowConnectFleet(defaultSettings)
 	defer f.stop()
-	c := f.client()
-	c.say(0, "mg k v O1 Pc=put,d=2500\r\n")
+	c := f.newClient()
+	c.sendAndPrint(0, "mg k v O1 Pc=put,d=2500\r\n")
 	first, err := h.Accept()
 	if err != nil {
 		panic(err)
@@ -50,15 +50,15 @@
 	line, _ := r.ReadString('\n')
 	fmt.Println(strings.Contains(line, " O1 "))
 	io.WriteString(first, "VA 5 O1\r\nvalue\r\n")
-	c.say(2, "")
+	c.sendAndPrint(2, "")
 	time.Sleep(100 * time.Millisecond) // it rests, and is used again
-	c.say(0, "mg k v O2 Pc=put,d=2500\r\n")
+	c.sendAndPrint(0, "mg k v O2 Pc=put,d=2500\r\n")
 	line, _ = r.ReadString('\n')
 	fmt.Println(strings.Contains(line, " O2 "))
-	h.hold()
+	h.fillBacklog()
 	first.Close()                      // it may have run
 	time.Sleep(600 * time.Millisecond) // the window is over, and the repeat's connection has been turned down
-	h.letIn()
+	h.acceptAndPrint()
 	// Output:
 	// true
 	// VA 5 O1
@@ -95,18 +95,18 @@
 	f.start()
 	defer f.stop()
 	for _, category := range []string{"once", "read"} {
-		c := f.client()
+		c := f.newClient()
 		commands := ""
 		for i := range 2 {
 			commands += fmt.Sprintf("mg k v O%s%d Pc=%s,d=500\r\n", category, i, category)
 		}
 		first, second, _ := strings.Cut(commands, "\n")
-		c.say(0, first+"\n")
-		c.r.ReadString('\n')
-		c.r.ReadString('\n')
-		c.say(0, second) // at once
-		line, _ := c.r.ReadString('\n')
-		fmt.Println(again.ReplaceAllString(strings.TrimSpace(line), "busy .."))
+		c.sendAndPrint(0, first+"\n")
+		c.reader.ReadString('\n')
+		c.reader.ReadString('\n')
+		c.sendAndPrint(0, second) // at once
+		line, _ := c.reader.ReadString('\n')
+		fmt.Println(retryDelayPattern.ReplaceAllString(strings.TrimSpace(line), "busy .."))
 		time.Sleep(150 * time.Millisecond)
 	}
 	for _, n := range f.Notes() {
@@ -114,7 +114,7 @@
 			fmt.Println(n)
 		}
 	}
-	f.ended("wrong-answer", "bad-input")
+	f.stopAndPrintReasons("wrong-answer", "bad-input")
 	// Output:
 	// VA 5 Oonce1
 	// SERVER_ERROR busy ..
@@ -129,16 +129,16 @@
 
 // A host that begins to drain while a connection to it comes up is not written to by it: that may be past any grace.
 func Example_drainWhileConnecting() {
-	f, h := slowToConnect(settings)
+	f, h := startSlowConnectFleet(defaultSettings)
 	defer f.stop()
-	h.hold()
-	c := f.client()
-	c.say(0, "mg k v O1 Pc=once,d=2500\r\n")
+	h.fillBacklog()
+	c := f.newClient()
+	c.sendAndPrint(0, "mg k v O1 Pc=once,d=2500\r\n")
 	time.Sleep(50 * time.Millisecond)
-	f.drain()
-	f.await("discovery: 2", 1)
-	h.letIn()
-	c.say(1, "")
+	f.drainFirstHost()
+	f.awaitNote("discovery: 2", 1)
+	h.acceptAndPrint()
+	c.sendAndPrint(1, "")
 	// Output:
 	// heard: []
 	// SERVER_ERROR busy ..
@@ -171,10 +171,10 @@
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(1, fmt.Sprintf("ms w %d O1 Pc=put,d=500\r\n%s\r\n", len(big), big))
+	c := f.newClient()
+	c.sendAndPrint(1, fmt.Sprintf("ms w %d O1 Pc=put,d=500\r\n%s\r\n", len(longValue), longValue))
 	time.Sleep(300 * time.Millisecond) // the origin rests
-	c.say(2, "mg k v O2 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\n")
 	for _, n := range f.Notes() {
 		if strings.HasPrefix(n, "origin") {
 			fmt.Println(n)
@@ -201,8 +201,8 @@
 	})
 	f.start()
 	defer f.stop()
-	f.client().say(1, fmt.Sprintf("ms w %d O1 Pc=once,d=500\r\n%s\r\n", len(big), big))
-	f.await("origin: begun", 1)
+	f.newClient().sendAndPrint(1, fmt.Sprintf("ms w %d O1 Pc=once,d=500\r\n%s\r\n", len(longValue), longValue))
+	f.awaitNote("origin: begun", 1)
 	// Output:
 	// SERVER_ERROR busy ..
 }
--- a/cmd/larchthread/late_host_test.go
+++ b/cmd/larchthread/late_host_test.go
@@ -12,14 +12,14 @@
 	"larchthread/internal/standin"
 )
 
-// lateHost is a cache host to which a connection comes up late: while it is held, its queue of connections is full, and the
+// slowConnectHost is a cache host to which a connection comes up late: while it is held, its queue of connections is full, and the
 // kernel asks again after a second.
-type lateHost struct {
+type slowConnectHost struct {
 	net.Listener
-	filler net.Conn
+	backlogConn net.Conn
 }
 
-func newLateHost() *lateHost {
+func newSlowConnectHost() *slowConnectHost {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -36,31 +36,31 @@
 	if err != nil {
 		panic(err)
 	}
-	return &lateHost{Listener: l}
+	return &slowConnectHost{Listener: l}
 }
 
-// slowToConnect starts a fleet of one such host, by settings with which connections may take long to come up, and pushes are not
+// startSlowConnectFleet starts a fleet of one such host, by settings with which connections may take long to come up, and pushes are not
 // called off.
-func slowToConnect(sets string) (*fleet, *lateHost) {
-	h := newLateHost()
-	f := &fleet{sets: strings.NewReplacer(`"connectTimeoutUs":50000`, `"connectTimeoutUs":2000000`, `"cancelling":true`,
+func startSlowConnectFleet(sets string) (*fleet, *slowConnectHost) {
+	h := newSlowConnectHost()
+	f := &fleet{settings: strings.NewReplacer(`"connectTimeoutUs":50000`, `"connectTimeoutUs":2000000`, `"cancelling":true`,
 		`"cancelling":false`, `"ttlUs":600000`, `"ttlUs":3000000`).Replace(sets)}
 	f.Members = append(f.Members, standin.ListEntry("a", h.Addr().String(), standin.KindHost, standin.InService))
 	f.start()
 	return f, h
 }
 
-// hold fills the queue.
-func (h *lateHost) hold() {
+// fillBacklog fills the queue.
+func (h *slowConnectHost) fillBacklog() {
 	c, err := net.Dial("tcp", h.Addr().String())
 	if err != nil {
 		panic(err)
 	}
-	h.filler = c
+	h.backlogConn = c
 }
 
-// letIn ends the hold, and prints what the next connection hears, if one comes.
-func (h *lateHost) letIn() {
+// acceptAndPrint ends the hold, and prints what the next connection hears, if one comes.
+func (h *slowConnectHost) acceptAndPrint() {
 	h.Accept() // the one that fills the queue
 	h.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second))
 	var heard []string
--- a/cmd/larchthread/lists_test.go
+++ b/cmd/larchthread/lists_test.go
@@ -15,17 +15,17 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=500\r\n")
-	f.drain()
-	f.await("a: connection closed", 1)
-	c.say(1, "mg k v O2 Pc=read,d=100\r\n")
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
+	f.drainFirstHost()
+	f.awaitNote("a: connection closed", 1)
+	c.sendAndPrint(1, "mg k v O2 Pc=read,d=100\r\n")
 	f.Changed <- standin.List(3, true, f.Members[0])
-	f.await("discovery: 3", 1)
-	c.say(2, "mg k v O3 Pc=read,d=500\r\n")
+	f.awaitNote("discovery: 3", 1)
+	c.sendAndPrint(2, "mg k v O3 Pc=read,d=500\r\n")
 	f.Changed <- "down"
-	f.await("discovery: 3", 3) // the new watch, and its second call
-	f.heard()
+	f.awaitNote("discovery: 3", 3) // the new watch, and its second call
+	f.printNotes()
 	// Output:
 	// VA 5 O1
 	// value
@@ -44,17 +44,17 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	silent, half, value, kept := f.client(), f.client(), f.client(), f.client()
-	half.say(0, "mg k v O1 Pc=re")
-	value.say(2, "mg k v O2 Pc=read,d=500\r\nms k 5 O3 Pc=put,d=500\r\nhe")
-	kept.say(2, "mg k v O4 Pc=read,d=500\r\n")
+	silent, half, value, kept := f.newClient(), f.newClient(), f.newClient(), f.newClient()
+	half.sendAndPrint(0, "mg k v O1 Pc=re")
+	value.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\nms k 5 O3 Pc=put,d=500\r\nhe")
+	kept.sendAndPrint(2, "mg k v O4 Pc=read,d=500\r\n")
 	began := time.Now()
-	silent.say(1, "")
-	half.say(2, "")
-	value.say(2, "")
+	silent.sendAndPrint(1, "")
+	half.sendAndPrint(2, "")
+	value.sendAndPrint(2, "")
 	fmt.Println("in time:", time.Since(began) < 2900*time.Millisecond)
-	kept.say(1, "")
-	f.ended("silent", "half-sent", "idle")
+	kept.sendAndPrint(1, "")
+	f.stopAndPrintReasons("silent", "half-sent", "idle")
 	// Output:
 	// VA 5 O2
 	// value
@@ -82,21 +82,21 @@
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	os.WriteFile(f.path, []byte("{"), 0o600)
+	c := f.newClient()
+	os.WriteFile(f.configPath, []byte("{"), 0o600)
 	f.process.Process.Signal(syscall.SIGHUP)
-	c.say(2, "mg k v O1 Pc=read,d=500\r\n")
-	f.write(f.Lists("discovery, moved"))
-	c.say(0, "mg k v O2 Pc=read,d=500\r\n")
-	f.await("a: mg k v O2 Pc=read,d=..", 1)
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
+	f.writeConfig(f.Lists("discovery, moved"))
+	c.sendAndPrint(0, "mg k v O2 Pc=read,d=500\r\n")
+	f.awaitNote("a: mg k v O2 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGHUP)
-	f.await("discovery, moved: 1", 2) // a first call and the one that waits
-	c.say(2, "")
-	f.drain()
-	f.await("a: connection closed", 1)
-	f.heard()
+	f.awaitNote("discovery, moved: 1", 2) // a first call and the one that waits
+	c.sendAndPrint(2, "")
+	f.drainFirstHost()
+	f.awaitNote("a: connection closed", 1)
+	f.printNotes()
 	c.Close()
-	f.ended("watch-moved", "peer-closed")
+	f.stopAndPrintReasons("watch-moved", "peer-closed")
 	// Output:
 	// VA 5 O1
 	// value
@@ -115,11 +115,11 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	f.await("discovery: 1", 2) // no answer comes to the calls that wait: the first of a new watch, and its second
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=500\r\n")
+	f.awaitNote("discovery: 1", 2) // no answer comes to the calls that wait: the first of a new watch, and its second
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
 	c.Close()
-	f.ended("watch-timeout")
+	f.stopAndPrintReasons("watch-timeout")
 	// Output:
 	// VA 5 O1
 	// value
--- a/cmd/larchthread/main.go
+++ b/cmd/larchthread/main.go
@@ -23,7 +23,7 @@
 	heapGrow  = 400  // per cent that the heap grows between two collections: it is small, and pauses cost time
 )
 
-func main() { os.Exit(execute(command())) }
+func main() { os.Exit(execute(newRootCommand())) }
 
 // serve runs the balancer that the start file describes, until it is told to stop. own is the path of the operators' own file,
 // empty where there is none.
@@ -48,7 +48,7 @@
 	}
 	share(1)
 	debug.SetGCPercent(heapGrow)
-	sink := newSink(os.Stderr)
+	sink := newAsyncLogWriter(os.Stderr)
 	defer sink.close()
 	log := slog.New(slog.NewTextHandler(sink, nil)).With("name", startFile.Name)
 	loop, err := transport.NewLoop(startFile.Sockets, int(startFile.MemoryMB*(1<<20)), log)
--- a/cmd/larchthread/main_test.go
+++ b/cmd/larchthread/main_test.go
@@ -10,17 +10,17 @@
 // The tests start this binary again as the program itself, and speak to it over sockets.
 func TestMain(m *testing.M) {
 	if os.Getenv("LARCHTHREAD_SERVE") != "" {
-		done := tellCost()
-		code := execute(command())
+		done := startProfiling()
+		code := execute(newRootCommand())
 		done()
 		os.Exit(code)
 	}
 	if to := strings.Split(os.Getenv("LARCHTHREAD_RELAY"), ","); to[0] != "" {
-		fmt.Fprintln(os.Stderr, relay(to[0], to[1:]))
+		fmt.Fprintln(os.Stderr, runBareRelay(to[0], to[1:]))
 		os.Exit(1)
 	}
 	if told := os.Getenv("LARCHTHREAD_HOSTS"); told != "" {
-		hosts(told)
+		serveHosts(told)
 	}
 	os.Exit(m.Run())
 }
@@ -34,17 +34,17 @@
 		}
 		return hit(words)
 	})
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(1, "mn\r\n")
-	c.say(2, "mg hot v O1 Pc=read,d=500\r\n")
-	c.say(2, "mg cold v O2 Pc=read,d=500,size=3\r\n")
-	c.say(1, "ms hot 5 O3 Pc=put,d=500,k=9\r\nhello\r\n")
-	c.say(3, "mg hot v O4 Pc=sing,d=500\r\nmg hot v Pc=read,d=500\r\nflush_all\r\n")
-	c.say(2, "ms hot many O5 Pc=put,d=500\r\n")
-	f.heard()
+	c := f.newClient()
+	c.sendAndPrint(1, "mn\r\n")
+	c.sendAndPrint(2, "mg hot v O1 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg cold v O2 Pc=read,d=500,size=3\r\n")
+	c.sendAndPrint(1, "ms hot 5 O3 Pc=put,d=500,k=9\r\nhello\r\n")
+	c.sendAndPrint(3, "mg hot v O4 Pc=sing,d=500\r\nmg hot v Pc=read,d=500\r\nflush_all\r\n")
+	c.sendAndPrint(2, "ms hot many O5 Pc=put,d=500\r\n")
+	f.printNotes()
 	// Output:
 	// MN
 	// VA 5 O1
--- a/cmd/larchthread/many_test.go
+++ b/cmd/larchthread/many_test.go
@@ -48,7 +48,7 @@
 func (f *fleet) restTogether(n int) (lost int) {
 	var all []*client
 	for range n {
-		c := f.client()
+		c := f.newClient()
 		defer c.Close()
 		all = append(all, c)
 	}
@@ -63,7 +63,7 @@
 		fmt.Fprintf(c, "mg k%d v O%s-%d Pc=read,d=500\r\n", i, round, i)
 	}
 	for _, c := range all {
-		if !served(c.r) {
+		if !served(c.reader) {
 			lost++
 		}
 	}
@@ -80,7 +80,7 @@
 // gone. Each host is some key's, though there are fewer sockets than hosts, and nothing more goes to the one that has gone.
 func TestManyHosts(t *testing.T) {
 	const first, all = 1024, 2000
-	f := &fleet{admin: freeAddress()}
+	f := &fleet{adminAddress: freeAddress()}
 	reached := &hostSet{names: map[string]bool{}}
 	for i := range all {
 		name := fmt.Sprint("cache", i)
@@ -161,11 +161,11 @@
 
 // askKeys asks for keys from a number on, one after the other. A nack is as good as a value: it is the host that counts.
 func (f *fleet) askKeys(t *testing.T, from int) {
-	c := f.client()
+	c := f.newClient()
 	defer c.Close()
 	for i := range keysAtOnce {
 		fmt.Fprintf(c, "mg key%d v O%d Pc=read,d=500\r\n", from+i, from+i)
-		if !served(c.r) {
+		if !served(c.reader) {
 			t.Errorf("key %d: no answer", from+i)
 			return
 		}
@@ -186,7 +186,7 @@
 	t.Helper()
 	want := fmt.Sprintf("known_cache_hosts:%d|", hosts)
 	for range 500 {
-		if strings.Contains(f.call("GET", "/status/metrics", ""), want) {
+		if strings.Contains(f.callAdmin("GET", "/status/metrics", ""), want) {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/cmd/larchthread/operators_test.go
+++ b/cmd/larchthread/operators_test.go
@@ -18,7 +18,7 @@
 // Operators' calls are answered while callers that say nothing hold more connections than there are in reserve, and clients
 // flood the balancer. The figures tell what hosts and clients have seen, and a host taken out by hand gets nothing new.
 func Example_operators() {
-	f := &fleet{admin: freeAddress()}
+	f := &fleet{adminAddress: freeAddress()}
 	f.Host("a", func(words []string) string {
 		switch words[1] {
 		case "cold":
@@ -28,37 +28,37 @@
 		}
 		return hit(words)
 	})
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
 	for range 40 {
-		c, _ := net.Dial("tcp", f.admin)
+		c, _ := net.Dial("tcp", f.adminAddress)
 		defer c.Close()
 	}
-	flood := f.client()
+	flood := f.newClient()
 	go io.WriteString(flood, strings.Repeat("mn\r\n", 200000))
-	fmt.Println(f.call("GET", "/status", ""))
-	fmt.Println(f.call("POST", "/status", ""))
-	fmt.Println(f.call("GET", "/maintenance/enter", ""))
-	fmt.Println(f.call("GET", "/elsewhere", ""))
-	c := f.client()
-	c.say(2, "mg hot v O1 Pc=read,d=500\r\n")
-	c.say(2, "mg cold v O2 Pc=read,d=500\r\n")
-	c.say(1, "ms broken 1 O3 Pc=sing,d=500\r\nx\r\n")
-	fmt.Println(f.call("GET", "/status/metrics", ""))
-	f.heard()
+	fmt.Println(f.callAdmin("GET", "/status", ""))
+	fmt.Println(f.callAdmin("POST", "/status", ""))
+	fmt.Println(f.callAdmin("GET", "/maintenance/enter", ""))
+	fmt.Println(f.callAdmin("GET", "/elsewhere", ""))
+	c := f.newClient()
+	c.sendAndPrint(2, "mg hot v O1 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg cold v O2 Pc=read,d=500\r\n")
+	c.sendAndPrint(1, "ms broken 1 O3 Pc=sing,d=500\r\nx\r\n")
+	fmt.Println(f.callAdmin("GET", "/status/metrics", ""))
+	f.printNotes()
 	for _, call := range []string{"enter b", "enter log", "enter ", "exit a", "enter a", "enter a"} {
 		word, id, _ := strings.Cut(call, " ")
-		fmt.Println(call, f.call("POST", "/maintenance/"+word, id))
+		fmt.Println(call, f.callAdmin("POST", "/maintenance/"+word, id))
 	}
 	f.Changed <- standin.List(2, true, f.Members...) // whatever discovery says meanwhile
-	f.await("discovery: 2", 1)
-	c.say(2, "mg hot v O4 Pc=read,d=500\r\n") // the last host is out: from the origin
-	fmt.Println(regexp.MustCompile("(passed.read:3|skipped_cache_hosts:1)").FindAllString(f.call("GET", "/status/metrics", ""), -1))
-	f.heard()
-	fmt.Println(f.call("POST", "/maintenance/exit", "a"))
-	c.say(2, "mg hot v O5 Pc=read,d=500\r\n")
-	f.heard()
+	f.awaitNote("discovery: 2", 1)
+	c.sendAndPrint(2, "mg hot v O4 Pc=read,d=500\r\n") // the last host is out: from the origin
+	fmt.Println(regexp.MustCompile("(passed.read:3|skipped_cache_hosts:1)").FindAllString(f.callAdmin("GET", "/status/metrics", ""), -1))
+	f.printNotes()
+	fmt.Println(f.callAdmin("POST", "/maintenance/exit", "a"))
+	c.sendAndPrint(2, "mg hot v O5 Pc=read,d=500\r\n")
+	f.printNotes()
 	// Output:
 	// 200 serving
 	// 405 want GET
@@ -105,7 +105,7 @@
 // Many more operators' calls at once than the reserve has connections are all answered: those beyond it wait in the kernel's queue.
 func TestManyOperatorCalls(t *testing.T) {
 	const calls = 200
-	f := &fleet{admin: freeAddress()}
+	f := &fleet{adminAddress: freeAddress()}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
@@ -114,7 +114,7 @@
 	var all sync.WaitGroup
 	for range calls {
 		all.Go(func() {
-			answer, err := caller.Get("http://" + f.admin + "/status")
+			answer, err := caller.Get("http://" + f.adminAddress + "/status")
 			if err != nil {
 				t.Log(err)
 				return
--- a/cmd/larchthread/process_test.go
+++ b/cmd/larchthread/process_test.go
@@ -17,19 +17,19 @@
 // After SIGTERM what was taken is answered, new connections are served for a while, and the program ends by itself.
 func Example_stop() {
 	f := &fleet{}
-	f.Host("a", slowly(100*time.Millisecond))
+	f.Host("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
-	c, idle := f.client(), f.client()
-	c.say(0, "mg slow v O1 Pc=read,d=590\r\n")
+	c, idle := f.newClient(), f.newClient()
+	c.sendAndPrint(0, "mg slow v O1 Pc=read,d=590\r\n")
 	time.Sleep(20 * time.Millisecond)
 	f.process.Process.Signal(syscall.SIGTERM)
-	c.say(2, "")
+	c.sendAndPrint(2, "")
 	time.Sleep(150 * time.Millisecond)
-	late := f.client()
-	late.say(2, "mg k v O2 Pc=read,d=500\r\n")
-	idle.say(1, "")
-	c.say(1, "")
+	late := f.newClient()
+	late.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\n")
+	idle.sendAndPrint(1, "")
+	c.sendAndPrint(1, "")
 	fmt.Println(f.process.Wait())
 	fmt.Println("stopping", strings.Count(f.log.String(), "reason=stopping"))
 	// Output:
@@ -64,7 +64,7 @@
 					if time.Since(began) > 500*time.Millisecond {
 						return
 					}
-					conn, err := net.Dial("tcp", f.listen)
+					conn, err := net.Dial("tcp", f.listenAddress)
 					if err != nil {
 						lost.Add(1)
 						return
@@ -73,10 +73,10 @@
 					c, fresh = &client{conn, bufio.NewReader(conn)}, true
 				}
 				io.WriteString(c, "mg k v O1 Pc=read,d=500\r\n")
-				line, err := c.r.ReadString('\n')
+				line, err := c.reader.ReadString('\n')
 				switch {
 				case err == nil && strings.HasPrefix(line, "VA"):
-					c.r.ReadString('\n')
+					c.reader.ReadString('\n')
 				case err == nil:
 				case fresh || line != "":
 					lost.Add(1)
@@ -107,15 +107,15 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=250\r\n")
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=250\r\n")
 	f.process.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(30 * time.Millisecond) // until it has stopped
-	c.say(0, "mg k v O2 Pc=read,d=250\r\n")
+	c.sendAndPrint(0, "mg k v O2 Pc=read,d=250\r\n")
 	time.Sleep(300 * time.Millisecond)
 	f.process.Process.Signal(syscall.SIGCONT)
-	c.say(1, "")
-	f.heard()
+	c.sendAndPrint(1, "")
+	f.printNotes()
 	// Output:
 	// VA 5 O1
 	// value
@@ -130,14 +130,14 @@
 		panic(err)
 	}
 	defer r.Close()
-	f := &fleet{logTo: w}
+	f := &fleet{logOutput: w}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
 	for range 1500 { // a line each: more than a pipe holds
-		f.client().Close()
+		f.newClient().Close()
 	}
-	f.client().say(2, "mg k v O1 Pc=read,d=500\r\n")
+	f.newClient().sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
 	// Output:
 	// VA 5 O1
 	// value
--- a/cmd/larchthread/pushes_test.go
+++ b/cmd/larchthread/pushes_test.go
@@ -22,15 +22,15 @@
 	f := &fleet{}
 	f.Host("x", func([]string) string { return "SERVER_ERROR busy\r\ndrop" })
 	f.Host("b", hit)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	c := f.client()
+	c := f.newClient()
 	for i := range 8 {
-		c.say(2, fmt.Sprintf("mg key%d v O%d Pc=read,d=500\r\n", i, i))
+		c.sendAndPrint(2, fmt.Sprintf("mg key%d v O%d Pc=read,d=500\r\n", i, i))
 	}
 	fmt.Println("asked for a connection:", strings.Count(strings.Join(f.Notes(), "\n"), "x: mg"))
-	f.ended("table-full")
+	f.stopAndPrintReasons("table-full")
 	// Output:
 	// VA 5 O0
 	// value
@@ -61,20 +61,20 @@
 		}
 		return "VA 4 O{id}\r\n" + (words[1] + "....")[:4] + "\r\n"
 	})
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(5, "mg slow v O1 Pc=read,d=500\r\nmg fast v O2 Pc=read,d=500\r\nmn\r\n")
+	c := f.newClient()
+	c.sendAndPrint(5, "mg slow v O1 Pc=read,d=500\r\nmg fast v O2 Pc=read,d=500\r\nmn\r\n")
 	for _, piece := range []string{"m", "g fast v O3 Pc=re", "ad,d=500\r", "\nms k 4 O4 Pc=put,d=500\r\nab"} {
-		c.say(0, piece)
+		c.sendAndPrint(0, piece)
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.say(3, "cd\r\n")
+	c.sendAndPrint(3, "cd\r\n")
 	io.WriteString(c, "mg slow v O5 Pc=read,d=500\r\n"+strings.Repeat("mn\r\n", 1000)) // more than stand in line
 	pongs := 0
 	for pongs < 1000 {
-		if line, err := c.r.ReadString('\n'); err != nil {
+		if line, err := c.reader.ReadString('\n'); err != nil {
 			break
 		} else if line == "MN\r\n" {
 			pongs++
@@ -108,12 +108,12 @@
 	}
 	f.Host("a", bad("VA 5 Oother\r\nwrong\r\n"))
 	f.Host("b", bad("VA 5 Oother\r\nwrong\r\n"))
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=500\r\n")
-	f.ended("wrong-answer")
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
+	f.stopAndPrintReasons("wrong-answer")
 	// Output:
 	// VA 5 O1
 	// value
@@ -137,16 +137,16 @@
 	})
 	f.start()
 	defer f.stop()
-	gone := f.client()
-	gone.say(1, "mg busy v O1 Pc=once,d=500\r\n")
+	gone := f.newClient()
+	gone.sendAndPrint(1, "mg busy v O1 Pc=once,d=500\r\n")
 	time.Sleep(50 * time.Millisecond) // its connection has rested, and is the only one
-	gone.say(1, "mg fail v O2 Pc=once,d=500\r\n")
+	gone.sendAndPrint(1, "mg fail v O2 Pc=once,d=500\r\n")
 	time.Sleep(600 * time.Millisecond) // the host rests after a failure
-	gone.say(1, "mg break v O3 Pc=once,d=500\r\n")
+	gone.sendAndPrint(1, "mg break v O3 Pc=once,d=500\r\n")
 	time.Sleep(1200 * time.Millisecond)
 	f.Closers[0].Close() // what the host has open is gone with its last break, and nothing new comes up
-	gone.say(1, "mg k v O4 Pc=once,d=500\r\n")
-	f.heard()
+	gone.sendAndPrint(1, "mg k v O4 Pc=once,d=500\r\n")
+	f.printNotes()
 	// Output:
 	// SERVER_ERROR busy ..
 	// SERVER_ERROR failed
@@ -184,9 +184,9 @@
 	f.start()
 	defer f.stop()
 	defer close(ended)
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=590\r\n")
-	f.heard()
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=590\r\n")
+	f.printNotes()
 	// Output:
 	// VA 5 O1
 	// value
@@ -223,7 +223,7 @@
 // copied starts a fleet of two cache hosts. The first push for each key gets what first says, the others a hit after a
 // while.
 func copied(first func(words []string) string) *fleet {
-	f := &fleet{sets: twice}
+	f := &fleet{settings: settingsWithCopies}
 	var seen sync.Map
 	say := func(words []string) string {
 		if _, again := seen.LoadOrStore(words[1], true); !again {
@@ -253,17 +253,17 @@
 			}
 			return ""
 		})
-		c := f.client()
-		c.say(1, "mg "+op+",d=350\r\n")
+		c := f.newClient()
+		c.sendAndPrint(1, "mg "+op+",d=350\r\n")
 		time.Sleep(200 * time.Millisecond)
 		if strings.HasPrefix(op, "hang") || strings.HasPrefix(op, "once") { // else a connection that is closed is one too many
 			f.awaitClosed()
 		}
-		f.heardSorted()
+		f.printNotesSorted()
 		if !strings.HasPrefix(op, "once") {
-			c.say(1, "") // the value; behind it comes no second answer
+			c.sendAndPrint(1, "") // the value; behind it comes no second answer
 		}
-		c.say(2, "mg other v O9 Pc=read,d=590\r\n")
+		c.sendAndPrint(2, "mg other v O9 Pc=read,d=590\r\n")
 		f.stop()
 	}
 	// Output:
@@ -298,7 +298,7 @@
 	var seen atomic.Int32
 	f := copied(func([]string) string { seen.Add(1); return "" })
 	defer f.stop()
-	gone := f.client()
+	gone := f.newClient()
 	io.WriteString(gone, "mg slow v O1 Pc=read,d=590\r\n")
 	for seen.Load() == 0 {
 		time.Sleep(time.Millisecond)
@@ -306,12 +306,12 @@
 	time.Sleep(115 * time.Millisecond) // the copy is out, and takes 50 ms
 	gone.Close()
 	time.Sleep(100 * time.Millisecond)
-	f.heardSorted()
-	c := f.client()
+	f.printNotesSorted()
+	c := f.newClient()
 	io.WriteString(c, "mg end v O2 Pc=read,d=590\r\n")
 	time.Sleep(120 * time.Millisecond)
 	f.process.Process.Signal(syscall.SIGTERM)
-	c.say(2, "")
+	c.sendAndPrint(2, "")
 	f.process.Wait()
 	fmt.Println("ended in good order:", f.process.ProcessState.Success())
 	// Output:
@@ -326,19 +326,19 @@
 
 // A load report that is garbage costs nothing but itself.
 func Example_garbledReport() {
-	f := &fleet{sets: twice}
+	f := &fleet{settings: settingsWithCopies}
 	f.Host("a", miss)
 	reports := []string{"busy=0.5,q=2", "busy=,q", "=,=,,busy=NaN,q=-3", "busy=1e999,\u00ff=4", strings.Repeat("q=1,", 99)}
 	f.Origin(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Server-Load", reports[0])
 		reports = reports[1:]
-		fetch(w, r)
+		handleOrigin(w, r)
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
+	c := f.newClient()
 	for i := range len(reports) {
-		c.say(2, fmt.Sprintf("mg k%d v O%d Pc=read,d=590\r\n", i, i))
+		c.sendAndPrint(2, fmt.Sprintf("mg k%d v O%d Pc=read,d=590\r\n", i, i))
 	}
 	// Output:
 	// VA 7 O0
@@ -364,11 +364,11 @@
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(2, "mg twice v O1 Pc=read,d=500\r\n")
-	c.say(2, "mg k v O2 Pc=read,d=500\r\n")
+	c := f.newClient()
+	c.sendAndPrint(2, "mg twice v O1 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\n")
 	c.Close()
-	f.ended("bad-input", "wrong-answer")
+	f.stopAndPrintReasons("bad-input", "wrong-answer")
 	// Output:
 	// VA 5 O1
 	// first
@@ -391,10 +391,10 @@
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=500\r\n")
-	c.say(2, "mg k v O2 Pc=read,d=500\r\n")
-	f.heard()
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\n")
+	f.printNotes()
 	// Output:
 	// VA 5 O1
 	// value
@@ -419,13 +419,13 @@
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(4, "mg slow v O1 Pc=read,d=500\r\nmg slow2 v O2 Pc=read,d=500\r\n")
-	c.say(1, "mg lost v O3 Pc=once,d=150\r\n")
+	c := f.newClient()
+	c.sendAndPrint(4, "mg slow v O1 Pc=read,d=500\r\nmg slow2 v O2 Pc=read,d=500\r\n")
+	c.sendAndPrint(1, "mg lost v O3 Pc=once,d=150\r\n")
 	time.Sleep(600 * time.Millisecond) // the host rests
-	c.say(2, "mg k v O4 Pc=read,d=500\r\n")
+	c.sendAndPrint(2, "mg k v O4 Pc=read,d=500\r\n")
 	c.Close()
-	f.ended("called-off", "host-silent")
+	f.stopAndPrintReasons("called-off", "host-silent")
 	// Output:
 	// VA 5 O1
 	// value
--- a/cmd/larchthread/resource_limits_test.go
+++ b/cmd/larchthread/resource_limits_test.go
@@ -18,18 +18,18 @@
 	defer f.stop()
 	var all []*client
 	for range 150 {
-		all = append(all, f.client())
+		all = append(all, f.newClient())
 	}
 	time.Sleep(2300 * time.Millisecond)
-	f.stopped(func() {
+	f.whileStopped(func() {
 		time.Sleep(400 * time.Millisecond) // their time is over
 		for _, c := range all {
-			c.say(0, strings.Repeat("mn\r\n", 200))
+			c.sendAndPrint(0, strings.Repeat("mn\r\n", 200))
 		}
 	})
 	answered := 0
 	for _, c := range all {
-		if line, _ := c.r.ReadString('\n'); line == "MN\r\n" {
+		if line, _ := c.reader.ReadString('\n'); line == "MN\r\n" {
 			answered++
 		}
 		c.Close()
@@ -47,23 +47,23 @@
 	defer f.stop()
 	var usual []*client
 	for i := range 12 {
-		c := f.client()
-		c.say(0, fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i))
-		c.r.ReadString('\n')
-		c.r.ReadString('\n')
+		c := f.newClient()
+		c.sendAndPrint(0, fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i))
+		c.reader.ReadString('\n')
+		c.reader.ReadString('\n')
 		usual = append(usual, c)
 	}
-	f.stopped(func() {
+	f.whileStopped(func() {
 		for range 60 {
-			f.client().say(0, "mg k v")
+			f.newClient().sendAndPrint(0, "mg k v")
 		}
 		for i, c := range usual {
-			c.say(0, fmt.Sprintf("mg k v Olate%d Pc=read,d=3000\r\n", i))
+			c.sendAndPrint(0, fmt.Sprintf("mg k v Olate%d Pc=read,d=3000\r\n", i))
 		}
 	})
 	answered := 0
 	for _, c := range usual {
-		if line, _ := c.r.ReadString('\n'); strings.HasPrefix(line, "VA 5") || strings.HasPrefix(line, "SERVER_ERROR busy") {
+		if line, _ := c.reader.ReadString('\n'); strings.HasPrefix(line, "VA 5") || strings.HasPrefix(line, "SERVER_ERROR busy") {
 			answered++
 		}
 	}
@@ -79,13 +79,13 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	known := f.client()
+	known := f.newClient()
 	var stop atomic.Bool
 	var all sync.WaitGroup
 	for range 150 {
 		all.Go(func() {
 			for !stop.Load() {
-				c, err := net.Dial("tcp", f.listen)
+				c, err := net.Dial("tcp", f.listenAddress)
 				if err != nil {
 					return
 				}
@@ -104,8 +104,8 @@
 			}
 		}
 		ask := fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i)
-		known.say(0, ask)
-		if known.take("value", ask) {
+		known.sendAndPrint(0, ask)
+		if known.readValue("value", ask) {
 			served++
 		}
 		time.Sleep(30 * time.Millisecond)
@@ -115,7 +115,7 @@
 		<-f.Changed
 	}
 	f.Forget()
-	f.await("discovery: 1", 2)
+	f.awaitNote("discovery: 1", 2)
 	stop.Store(true)
 	all.Wait()
 	// Output:
@@ -128,21 +128,21 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	before := f.resident()
+	before := f.peakMemoryMB()
 	var all []*client
 	for range 700 {
-		all = append(all, f.client())
+		all = append(all, f.newClient())
 	}
-	f.client().say(1, "mn\r\n") // they are accepted
-	f.stopped(func() {
+	f.newClient().sendAndPrint(1, "mn\r\n") // they are accepted
+	f.whileStopped(func() {
 		for _, c := range all {
 			c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) // as much as the kernel takes
-			c.say(0, "ms k 65000 O1 Pc=put,d=500\r\n"+big[:64000])
+			c.sendAndPrint(0, "ms k 65000 O1 Pc=put,d=500\r\n"+longValue[:64000])
 		}
 	})
-	c, ask := f.client(), "mg k v O2 Pc=read,d=500\r\n"
-	c.say(0, ask)
-	fmt.Println("served:", c.take("value", ask), "within memory:", f.resident()-before < 10)
+	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
+	c.sendAndPrint(0, ask)
+	fmt.Println("served:", c.readValue("value", ask), "within memory:", f.peakMemoryMB()-before < 10)
 	// Output:
 	// MN
 	// served: true within memory: true
@@ -156,21 +156,21 @@
 	defer f.stop()
 	var all []*client
 	for range 800 {
-		all = append(all, f.client())
+		all = append(all, f.newClient())
 	}
-	f.client().say(1, "mn\r\n") // they are accepted
-	f.stopped(func() {
+	f.newClient().sendAndPrint(1, "mn\r\n") // they are accepted
+	f.whileStopped(func() {
 		for _, c := range all {
 			c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) // as much as the kernel takes
-			c.say(0, "ms k 65000 O1 Pc=put,d=500\r\n"+big[:64000])
+			c.sendAndPrint(0, "ms k 65000 O1 Pc=put,d=500\r\n"+longValue[:64000])
 		}
 		for range 200 {
-			defer f.client().Close()
+			defer f.newClient().Close()
 		}
 	})
-	c, ask := f.client(), "mg k v O2 Pc=read,d=500\r\n"
-	c.say(0, ask)
-	fmt.Println("served:", c.take("value", ask))
+	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
+	c.sendAndPrint(0, ask)
+	fmt.Println("served:", c.readValue("value", ask))
 	// Output:
 	// MN
 	// served: true
@@ -179,25 +179,25 @@
 // Of many connections with nothing open none is ended that an op has just come on.
 func Example_opAsOneOfMany() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`} // sixteen may rest
-	f.Host("a", slowly(100*time.Millisecond))
+	f.Host("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
 	var all []*client
 	for i := range 16 {
-		c := f.client()
-		c.say(0, fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i))
-		c.take("value", "")
+		c := f.newClient()
+		c.sendAndPrint(0, fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i))
+		c.readValue("value", "")
 		all = append(all, c)
 	}
-	last := f.client()
-	last.say(0, "mg slow v Olast Pc=once,d=590\r\n")
-	f.await("a: mg slow v Olast Pc=once,d=..", 1)
-	f.stopped(func() {
+	last := f.newClient()
+	last.sendAndPrint(0, "mg slow v Olast Pc=once,d=590\r\n")
+	f.awaitNote("a: mg slow v Olast Pc=once,d=..", 1)
+	f.whileStopped(func() {
 		time.Sleep(120 * time.Millisecond) // it is answered, and one too many will rest
-		all[0].say(0, "mg k v Ofirst Pc=read,d=500\r\n")
+		all[0].sendAndPrint(0, "mg k v Ofirst Pc=read,d=500\r\n")
 	})
-	last.say(2, "")
-	all[0].say(2, "")
+	last.sendAndPrint(2, "")
+	all[0].sendAndPrint(2, "")
 	// Output:
 	// VA 5 Olast
 	// value
--- a/cmd/larchthread/scale_feed.go
+++ b/cmd/larchthread/scale_feed.go
@@ -63,15 +63,15 @@
 	result, err := s.play(ctx, c.ErrOrStderr())
 	if err != nil {
 		fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
-		return exit(exitFound)
+		return exitError(exitFailure)
 	}
 	result.Table(c.OutOrStdout())
 	if err := s.report(result, c.OutOrStdout()); err != nil {
 		fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
-		return exit(exitFound)
+		return exitError(exitFailure)
 	}
 	if result.Failed() {
-		return exit(exitFound)
+		return exitError(exitFailure)
 	}
 	return nil
 }
--- a/cmd/larchthread/scale_feed_test.go
+++ b/cmd/larchthread/scale_feed_test.go
@@ -41,7 +41,7 @@
 func TestScaleFeedCommand(t *testing.T) {
 	report := filepath.Join(t.TempDir(), "report.html")
 	var output, progress bytes.Buffer
-	root := command()
+	root := newRootCommand()
 	root.SetOut(&output)
 	root.SetErr(&progress)
 	root.SetArgs([]string{"scale", "feed", "--in-process", "--balancers", "6", "--relays", "2", "--seconds", "1", "--html", report})
@@ -64,10 +64,10 @@
 // TestScaleFeedRefusesOptions has options that make no sense end the command with its usual code.
 func TestScaleFeedRefusesOptions(t *testing.T) {
 	var progress bytes.Buffer
-	root := command()
+	root := newRootCommand()
 	root.SetErr(&progress)
 	root.SetArgs([]string{"scale", "feed", "--balancers", "0"})
-	if err := root.Execute(); err != exit(exitFound) || !strings.Contains(progress.String(), "at least one subscriber") {
+	if err := root.Execute(); err != exitError(exitFailure) || !strings.Contains(progress.String(), "at least one subscriber") {
 		t.Errorf("%v, said %q", err, &progress)
 	}
 }
--- a/cmd/larchthread/scale_test.go
+++ b/cmd/larchthread/scale_test.go
@@ -12,7 +12,7 @@
 // TestScaleList has the command print its figures as JSON.
 func TestScaleList(t *testing.T) {
 	var out bytes.Buffer
-	c := command()
+	c := newRootCommand()
 	c.SetArgs([]string{"scale", "list", "--hosts", "5,10", "--json"})
 	c.SetOut(&out)
 	if err := c.Execute(); err != nil {
--- a/cmd/larchthread/shutdown_test.go
+++ b/cmd/larchthread/shutdown_test.go
@@ -20,25 +20,25 @@
 	f.process.Process.Kill()
 	f.process.Wait()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
-		text, _ := os.ReadFile(f.path)
-		os.Remove(f.path)
-		if err := syscall.Mkfifo(f.path, 0o600); err != nil {
+		text, _ := os.ReadFile(f.configPath)
+		os.Remove(f.configPath)
+		if err := syscall.Mkfifo(f.configPath, 0o600); err != nil {
 			panic(err)
 		}
-		f.process = f.run()
-		start, err := os.OpenFile(f.path, os.O_WRONLY, 0) // returns once the program has it open to read
+		f.process = f.startProcess()
+		start, err := os.OpenFile(f.configPath, os.O_WRONLY, 0) // returns once the program has it open to read
 		if err != nil {
 			panic(err)
 		}
 		f.process.Process.Signal(s)
 		time.Sleep(50 * time.Millisecond)
-		os.Remove(f.path)
-		os.WriteFile(f.path, text, 0o600)
+		os.Remove(f.configPath)
+		os.WriteFile(f.configPath, text, 0o600)
 		start.Write(text)
 		start.Close()
 		if s == syscall.SIGHUP {
-			reach(f.listen)
-			f.client().say(2, "mg k v O1 Pc=read,d=500\r\n")
+			waitForListener(f.listenAddress)
+			f.newClient().sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
 			fmt.Println("read anew:", strings.Contains(f.log.String(), "configuration read anew"))
 			f.process.Process.Kill()
 		}
@@ -54,7 +54,7 @@
 
 // An answer that is given while the program stops is whole, also for a client that reads it late.
 func Example_stopBeforeLateReader() {
-	f := &fleet{sets: strings.ReplaceAll(settings, `"ttlUs":600000`, `"ttlUs":3000000`)}
+	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	value := strings.Repeat("x", 65000)
 	f.Host("a", func([]string) string {
 		time.Sleep(700 * time.Millisecond)
@@ -64,10 +64,10 @@
 	defer f.stop()
 	var all []*client
 	for i := range 4 {
-		c := f.client()
+		c := f.newClient()
 		c.Conn.(*net.TCPConn).SetReadBuffer(1 << 15)
 		for j := range 4 { // more than the kernel holds
-			c.say(0, fmt.Sprintf("mg k%d v O%d-%d Pc=once,d=2500\r\n", i, i, j))
+			c.sendAndPrint(0, fmt.Sprintf("mg k%d v O%d-%d Pc=once,d=2500\r\n", i, i, j))
 		}
 		all = append(all, c)
 	}
@@ -79,7 +79,7 @@
 	for _, c := range all {
 		reading.Go(func() {
 			for range 4 {
-				if c.take(value, "") {
+				if c.readValue(value, "") {
 					whole.Add(1)
 				}
 			}
@@ -95,7 +95,7 @@
 // An op that comes so late behind the word to stop that the end may be forced before it is settled is nacked at once, and not
 // sent on; what came before is answered first.
 func Example_opBehindTheStop() {
-	f := &fleet{sets: strings.ReplaceAll(settings, `"ttlUs":600000`, `"ttlUs":3000000`)}
+	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	f.Host("a", func(words []string) string {
 		if words[1] == "slow" {
 			time.Sleep(1200 * time.Millisecond)
@@ -104,14 +104,14 @@
 	})
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(0, "mg slow v O1 Pc=once,d=2500\r\n")
-	f.await("a: mg slow v O1 Pc=once,d=..", 1)
+	c := f.newClient()
+	c.sendAndPrint(0, "mg slow v O1 Pc=once,d=2500\r\n")
+	f.awaitNote("a: mg slow v O1 Pc=once,d=..", 1)
 	f.process.Process.Signal(syscall.SIGTERM)
 	time.Sleep(800 * time.Millisecond)
-	c.say(3, "mg k v O2 Pc=read,d=2500\r\n")
-	c.say(1, "")
-	fmt.Println(f.process.Wait(), "sent on:", f.sent("2"))
+	c.sendAndPrint(3, "mg k v O2 Pc=read,d=2500\r\n")
+	c.sendAndPrint(1, "")
+	fmt.Println(f.process.Wait(), "sent on:", f.countPushes("2"))
 	// Output:
 	// VA 5 O1
 	// value
@@ -123,20 +123,20 @@
 // Half a command that stood there as the program was told to stop is taken once it is whole, and answered: with a nack where it
 // comes too late to be sent on.
 func Example_halfAtTheStop() {
-	f := &fleet{sets: strings.ReplaceAll(settings, `"ttlUs":600000`, `"ttlUs":3000000`)}
+	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	soon, late := f.client(), f.client()
+	soon, late := f.newClient(), f.newClient()
 	for _, c := range []*client{soon, late} {
-		c.say(2, "mg k v O0 Pc=read,d=500\r\nmg k v O")
+		c.sendAndPrint(2, "mg k v O0 Pc=read,d=500\r\nmg k v O")
 	}
 	f.process.Process.Signal(syscall.SIGTERM)
 	time.Sleep(500 * time.Millisecond)
-	soon.say(3, "1 Pc=read,d=2500\r\n")
+	soon.sendAndPrint(3, "1 Pc=read,d=2500\r\n")
 	time.Sleep(300 * time.Millisecond)
-	late.say(2, "2 Pc=read,d=2500\r\n")
-	fmt.Println(f.process.Wait(), "sent on:", f.sent("1"), f.sent("2"))
+	late.sendAndPrint(2, "2 Pc=read,d=2500\r\n")
+	fmt.Println(f.process.Wait(), "sent on:", f.countPushes("1"), f.countPushes("2"))
 	// Output:
 	// VA 5 O0
 	// value
@@ -153,19 +153,19 @@
 // A second word to stop, and one to read the configuration anew, change nothing of how the program ends.
 func Example_signalsWhileStopping() {
 	f := &fleet{}
-	f.Host("a", slowly(100*time.Millisecond))
+	f.Host("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
-	c := f.client()
-	c.say(0, "mg slow v O1 Pc=read,d=590\r\n")
-	f.await("a: mg slow v O1 Pc=read,d=..", 1)
+	c := f.newClient()
+	c.sendAndPrint(0, "mg slow v O1 Pc=read,d=590\r\n")
+	f.awaitNote("a: mg slow v O1 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGTERM)
 	for !strings.Contains(f.log.String(), "msg=stopping") {
 		time.Sleep(time.Millisecond)
 	}
 	f.process.Process.Signal(syscall.SIGHUP)
 	f.process.Process.Signal(syscall.SIGTERM)
-	c.say(2, "")
+	c.sendAndPrint(2, "")
 	fmt.Println(f.process.Wait())
 	// Output:
 	// VA 5 O1
--- a/cmd/larchthread/sink.go
+++ b/cmd/larchthread/sink.go
@@ -12,15 +12,15 @@
 	sinkWait  = 100 * time.Millisecond // for the last lines at the end
 )
 
-// sink passes log lines on from a goroutine of its own: a log that nobody reads must not stop the loop.
-type sink struct {
+// asyncLogWriter passes log lines on from a goroutine of its own: a log that nobody reads must not stop the loop.
+type asyncLogWriter struct {
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 }
 
-func newSink(w io.Writer) *sink {
-	s := &sink{lines: make(chan []byte, sinkLines), done: make(chan struct{})}
+func newAsyncLogWriter(w io.Writer) *asyncLogWriter {
+	s := &asyncLogWriter{lines: make(chan []byte, sinkLines), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for line := range s.lines {
@@ -34,7 +34,7 @@
 }
 
 // Write never waits.
-func (s *sink) Write(p []byte) (int, error) {
+func (s *asyncLogWriter) Write(p []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), p...):
 	default:
@@ -44,7 +44,7 @@
 }
 
 // close passes on what is left, as far as the reader takes it soon.
-func (s *sink) close() {
+func (s *asyncLogWriter) close() {
 	close(s.lines)
 	select {
 	case <-s.done:
--- a/cmd/larchthread/speed_test.go
+++ b/cmd/larchthread/speed_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// hosts is that process: it prints the hosts' addresses.
-func hosts(told string) {
+// serveHosts is that process: it prints the hosts' addresses.
+func serveHosts(told string) {
 	n, text, _ := strings.Cut(told, ",")
 	many, err := strconv.Atoi(n)
 	delay, bad := time.ParseDuration(text)
@@ -97,9 +97,9 @@
 	}
 }
 
-// relay is what a balancer's sockets cost at the least: one thread, one epoll, and for each client one
+// runBareRelay is what a balancer's sockets cost at the least: one thread, one epoll, and for each client one
 // connection to a host, to which bytes are passed on unread.
-func relay(listen string, hosts []string) error {
+func runBareRelay(listen string, hosts []string) error {
 	runtime.GOMAXPROCS(1)
 	address := func(s string) *unix.SockaddrInet4 {
 		a, err := net.ResolveTCPAddr("tcp4", s)
@@ -161,8 +161,8 @@
 	}
 }
 
-// tellCost lets the program write what it has allocated as it ends, and its profiles where a path for them is given.
-func tellCost() (done func()) {
+// startProfiling lets the program write what it has allocated as it ends, and its profiles where a path for them is given.
+func startProfiling() (done func()) {
 	path := os.Getenv("LARCHTHREAD_PROFILE")
 	if path != "" {
 		f, err := os.Create(path + ".cpu")
@@ -375,7 +375,7 @@
 	if err := p.Start(); err != nil {
 		panic(err)
 	}
-	reach(listen)
+	waitForListener(listen)
 	return listen, p
 }
 
@@ -394,7 +394,7 @@
 	defer func() {
 		p.Process.Kill()
 		p.Wait()
-		fmt.Printf("allocations an op, start and end of the program included: %.1f\n", float64(f.end())/float64(f.served))
+		fmt.Printf("allocations an op, start and end of the program included: %.1f\n", float64(f.end())/float64(f.servedOps))
 	}()
 	for _, clients := range []int{1, 8, 32, 100, 400} {
 		b.Run(fmt.Sprintf("clients=%d/relay", clients), func(b *testing.B) {
@@ -402,8 +402,8 @@
 		})
 		for _, ttl := range []time.Duration{600 * time.Millisecond, 4 * time.Second} {
 			b.Run(fmt.Sprintf("clients=%d/ttl=%v", clients, ttl), func(b *testing.B) {
-				s := measure(b, f.process.Process.Pid, delay, func() *speed { return closed(f.listen, clients, ttl, speedFor) })
-				f.served += s.served
+				s := measure(b, f.process.Process.Pid, delay, func() *speed { return closed(f.listenAddress, clients, ttl, speedFor) })
+				f.servedOps += s.served
 			})
 		}
 	}
@@ -418,7 +418,7 @@
 	top := func() float64 { // what it serves to clients that wait for their answers
 		best := 0.0
 		for _, clients := range []int{32, 100} {
-			s := closed(f.listen, clients, 600*time.Millisecond, speedFor)
+			s := closed(f.listenAddress, clients, 600*time.Millisecond, speedFor)
 			best = max(best, float64(s.served)/s.took.Seconds())
 		}
 		return best
@@ -427,7 +427,7 @@
 		b.Run(fmt.Sprintf("times=%v", times), func(b *testing.B) {
 			before := top()
 			s := measure(b, f.process.Process.Pid, 0, func() *speed {
-				return streams(f.listen, 100, times*before, 600*time.Millisecond, 3*speedFor)
+				return streams(f.listenAddress, 100, times*before, 600*time.Millisecond, 3*speedFor)
 			})
 			mean := (before + top()) / 2 // the machine's own speed changes
 			b.ReportMetric(float64(s.served-s.late)/s.took.Seconds()/mean, "of-top")
@@ -459,7 +459,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := net.Dial("tcp", f.listen)
+			c, err := net.Dial("tcp", f.listenAddress)
 			if err != nil {
 				return
 			}
--- a/cmd/larchthread/spoilt_test.go
+++ b/cmd/larchthread/spoilt_test.go
@@ -22,5 +22,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tryPlan(t, p)
+	runPlan(t, p)
 }
--- a/cmd/larchthread/time_left_connection_test.go
+++ b/cmd/larchthread/time_left_connection_test.go
@@ -68,46 +68,48 @@
 }
 
 // longWrite is a write of a value that goes out by and by.
-var longWrite = fmt.Sprintf("ms w %d O1 Pc=put,d=2500\r\n%s\r\n", len(big), big)
+var longWrite = fmt.Sprintf("ms w %d O1 Pc=put,d=2500\r\n%s\r\n", len(longValue), longValue)
 
 // A long write whose last byte leaves late, as the origin reads slowly, tells it no more than is left then.
 func TestTimeLeftOfLongWriteToOrigin(t *testing.T) {
-	f := &fleet{sets: patient()}
+	f := &fleet{settings: longTTLSettings()}
 	f.Host("a", miss)
 	l := newStallingListener(t, 700*time.Millisecond)
 	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
-	f.ServeOrigin(l, fetch)
+	f.ServeOrigin(l, handleOrigin)
 	c := startFleet(t, f)
-	r := c.send(t, longWrite)
+	r := c.sendRequest(t, longWrite)
 	c.wantAnswer(t, "HD O1")
 	f.checkServers(t, r, standin.OriginID)
-	f.checkNoMoreThanLeft(t, r)
+	f.checkTimeLeftLimit(t, r)
 }
 
 // The same where writes go to cache hosts.
 func TestTimeLeftOfLongWriteToHost(t *testing.T) {
-	f := &fleet{sets: patient(`"mode":"aside",`, ``)}
+	f := &fleet{settings: longTTLSettings(`"mode":"aside",`, ``)}
 	l := newStallingListener(t, 700*time.Millisecond)
 	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
 	f.ServeHost("a", l, stored)
 	c := startFleet(t, f)
-	r := c.send(t, longWrite)
+	r := c.sendRequest(t, longWrite)
 	c.wantAnswer(t, "HD O1")
 	f.checkServers(t, r, "a")
-	f.checkNoMoreThanLeft(t, r)
+	f.checkTimeLeftLimit(t, r)
 }
 
 // lateTo is the settings for servers to which a connection may come up late: the kernel asks again after a second.
-func lateTo() string { return patient(`"connectTimeoutUs":50000`, `"connectTimeoutUs":1900000`) }
+func lateTo() string {
+	return longTTLSettings(`"connectTimeoutUs":50000`, `"connectTimeoutUs":1900000`)
+}
 
 // A host to which a connection comes up late is told what is left by then.
 func TestTimeLeftOnLateConnectionToHost(t *testing.T) {
-	f, h := &fleet{sets: lateTo()}, newLateHost()
+	f, h := &fleet{settings: lateTo()}, newSlowConnectHost()
 	f.Members = append(f.Members, standin.ListEntry("a", h.Addr().String(), standin.KindHost, standin.InService))
 	c := startFleet(t, f)
-	h.hold()
-	defer h.filler.Close()
-	r := c.send(t, "mg k v O1 Pc=once,d=2500\r\n")
+	h.fillBacklog()
+	defer h.backlogConn.Close()
+	r := c.sendRequest(t, "mg k v O1 Pc=once,d=2500\r\n")
 	time.Sleep(300 * time.Millisecond)
 	f.ServeHost("a", h, hit)
 	c.wantAnswer(t, "VA 5 O1")
@@ -117,15 +119,15 @@
 
 // The same for the origin.
 func TestTimeLeftOnLateConnectionToOrigin(t *testing.T) {
-	f, h := &fleet{sets: lateTo()}, newLateHost()
+	f, h := &fleet{settings: lateTo()}, newSlowConnectHost()
 	f.Host("a", miss)
 	f.Members = append(f.Members, standin.ListEntry("log", h.Addr().String(), standin.KindOrigin, standin.InService))
 	c := startFleet(t, f)
-	h.hold()
-	defer h.filler.Close()
-	r := c.send(t, "ms k 5 O1 Pc=put,d=2500\r\nvalue\r\n")
+	h.fillBacklog()
+	defer h.backlogConn.Close()
+	r := c.sendRequest(t, "ms k 5 O1 Pc=put,d=2500\r\nvalue\r\n")
 	time.Sleep(300 * time.Millisecond)
-	f.ServeOrigin(h, fetch)
+	f.ServeOrigin(h, handleOrigin)
 	c.wantAnswer(t, "HD O1")
 	f.checkServers(t, r, standin.OriginID)
 	f.checkTimeLeft(t, r)
--- a/cmd/larchthread/time_left_passed_on_test.go
+++ b/cmd/larchthread/time_left_passed_on_test.go
@@ -13,13 +13,13 @@
 
 // A command whose last byte comes long after its connection was passed on in an upgrade has all of its time from that byte on.
 func TestTimeLeftOfCommandPassedOnInPieces(t *testing.T) {
-	f, remove := newHandOverFleet("pieces")
+	f, remove := newHandoverFleet("pieces")
 	t.Cleanup(remove)
-	f.sets = patient()
+	f.settings = longTTLSettings()
 	c := startWithHosts(t, f, hit)
 	io.WriteString(c, "ms k 4 O1 Pc=put,d=1000\r\nab")
-	time.Sleep(quietAfter)
-	if err := f.replace(); err != nil {
+	time.Sleep(idleDelay)
+	if err := f.replaceProcess(); err != nil {
 		t.Errorf("the old one ends: %v", err)
 	}
 	time.Sleep(restBeforeLastByte)
--- a/cmd/larchthread/time_left_reading_test.go
+++ b/cmd/larchthread/time_left_reading_test.go
@@ -13,15 +13,15 @@
 
 // A client's time counts from the last byte of its command, however long the pieces before have taken.
 func TestTimeLeftOfCommandInPieces(t *testing.T) {
-	f := &fleet{sets: patient()}
-	c := startWithHosts(t, f, after(300*time.Millisecond, miss))
+	f := &fleet{settings: longTTLSettings()}
+	c := startWithHosts(t, f, delayed(300*time.Millisecond, miss))
 	for _, piece := range []string{"mg k", " v O1 Pc=on", "ce,d="} {
-		c.say(0, piece)
+		c.sendAndPrint(0, piece)
 		time.Sleep(300 * time.Millisecond)
 	}
-	c.say(0, "1500\r")
+	c.sendAndPrint(0, "1500\r")
 	time.Sleep(300 * time.Millisecond)
-	c.say(0, "\n")
+	c.sendAndPrint(0, "\n")
 	r := request{id: "1", timeLeft: 1500 * time.Millisecond, sent: time.Now()}
 	c.wantAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "a", standin.OriginID)
@@ -35,8 +35,8 @@
 		mostInLine = 256 // commands of a connection that the program reads before it answers the first
 		atOnce     = 8   // commands that are sent together, no more than its host may have out
 	)
-	f := &fleet{sets: patient(`"targetLatencyUs":200000`, `"targetLatencyUs":2000000`)} // so that the slow one narrows no gate
-	f.Host("a", slowly(900*time.Millisecond))
+	f := &fleet{settings: longTTLSettings(`"targetLatencyUs":200000`, `"targetLatencyUs":2000000`)} // so that the slow one narrows no gate
+	f.Host("a", hitWithSlowKey(900*time.Millisecond))
 	c := startFleet(t, f)
 	var sent []request
 	send := func(n int) {
@@ -49,7 +49,7 @@
 			}
 			fmt.Fprintf(&text, "mg %s v O%d Pc=once,d=2000\r\n", key, first+i)
 		}
-		r := c.send(t, text.String())
+		r := c.sendRequest(t, text.String())
 		for i := range n {
 			r.id = fmt.Sprint(first + i)
 			sent = append(sent, r)
@@ -63,7 +63,7 @@
 	time.Sleep(100 * time.Millisecond)
 	send(atOnce)
 	for range sent {
-		c.answer(t)
+		c.readAnswer(t)
 	}
 	attempts := func(part []request) (n int) {
 		for _, r := range part {
--- a/cmd/larchthread/time_left_stop_test.go
+++ b/cmd/larchthread/time_left_stop_test.go
@@ -14,15 +14,15 @@
 // A connection that is handed over while the new process stands still takes a command meanwhile: what the new one tells
 // counts that time.
 func TestTimeLeftAcrossFrozenUpgrade(t *testing.T) {
-	f, remove := newHandOverFleet("frozen")
+	f, remove := newHandoverFleet("frozen")
 	t.Cleanup(remove)
-	f.sets = patient()
-	c := startWithHosts(t, f, after(300*time.Millisecond, miss))
-	c.say(0, "mn\r\n")
+	f.settings = longTTLSettings()
+	c := startWithHosts(t, f, delayed(300*time.Millisecond, miss))
+	c.sendAndPrint(0, "mn\r\n")
 	c.wantAnswer(t, "MN")
 	old := f.process
-	f.process = f.beside()
-	time.Sleep(quietAfter)
+	f.process = f.startSuccessor()
+	time.Sleep(idleDelay)
 	f.process.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(30 * time.Millisecond) // until it has stopped
 	old.Process.Signal(syscall.SIGTERM)
@@ -31,7 +31,7 @@
 			t.Fatal("the connection was not passed on")
 		}
 	}
-	r := c.send(t, "mg k v O1 Pc=once,d=2000\r\n")
+	r := c.sendRequest(t, "mg k v O1 Pc=once,d=2000\r\n")
 	time.Sleep(500 * time.Millisecond)
 	f.process.Process.Signal(syscall.SIGCONT)
 	c.wantAnswer(t, "VA 7 O1")
@@ -42,14 +42,14 @@
 
 // A command that comes while the program is stopped loses the time of the stop.
 func TestTimeLeftAcrossStop(t *testing.T) {
-	f := &fleet{sets: patient()}
+	f := &fleet{settings: longTTLSettings()}
 	c := startWithHosts(t, f, miss)
-	c.say(0, "mn\r\n")
+	c.sendAndPrint(0, "mn\r\n")
 	c.wantAnswer(t, "MN")
-	time.Sleep(quietAfter)
+	time.Sleep(idleDelay)
 	var r request
-	f.stopped(func() {
-		r = c.send(t, "mg k v O1 Pc=once,d=1500\r\n")
+	f.whileStopped(func() {
+		r = c.sendRequest(t, "mg k v O1 Pc=once,d=1500\r\n")
 		time.Sleep(400 * time.Millisecond)
 	})
 	c.wantAnswer(t, "VA 7 O1")
@@ -59,12 +59,12 @@
 
 // An op whose host answers while the program is stopped goes on with what the stop has left.
 func TestTimeLeftAcrossStopAmidOp(t *testing.T) {
-	f := &fleet{sets: patient()}
-	c := startWithHosts(t, f, after(300*time.Millisecond, miss))
-	r := c.send(t, "mg k v O1 Pc=once,d=1500\r\n")
-	f.await("a: mg k v O1 Pc=once,d=..", 1)
-	time.Sleep(quietAfter)
-	f.stopped(func() { time.Sleep(400 * time.Millisecond) })
+	f := &fleet{settings: longTTLSettings()}
+	c := startWithHosts(t, f, delayed(300*time.Millisecond, miss))
+	r := c.sendRequest(t, "mg k v O1 Pc=once,d=1500\r\n")
+	f.awaitNote("a: mg k v O1 Pc=once,d=..", 1)
+	time.Sleep(idleDelay)
+	f.whileStopped(func() { time.Sleep(400 * time.Millisecond) })
 	c.wantAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "a", standin.OriginID)
 	f.checkTimeLeft(t, r)
--- a/cmd/larchthread/time_left_test.go
+++ b/cmd/larchthread/time_left_test.go
@@ -22,25 +22,25 @@
 	timeLeftTolerance = 30 * time.Millisecond
 	// leastPart is the part of what was left that an attempt tells at the least, where nothing justifies less.
 	leastPart = 0.5
-	// quietAfter is how long after its last work a process that is about to be stopped has come to wait for more.
-	quietAfter = 100 * time.Millisecond
+	// idleDelay is how long after its last work a process that is about to be stopped has come to wait for more.
+	idleDelay = 100 * time.Millisecond
 	// answerWait is for how long a client of these tests waits for an answer.
 	answerWait = 3 * time.Second
 )
 
-// patient is the usual settings with others in which no push is called off and slow servers are waited for, so that each
+// longTTLSettings is the usual settings with others in which no push is called off and slow servers are waited for, so that each
 // attempt is limited by its client's time alone. Pairs of old and new texts change more of them.
-func patient(pairs ...string) string {
+func longTTLSettings(pairs ...string) string {
 	for i := 0; i < len(pairs); i += 2 {
-		setting(pairs[i], pairs[i+1]) // panics where there is no such text
+		replaceSetting(pairs[i], pairs[i+1]) // panics where there is no such text
 	}
 	return strings.NewReplacer(append(pairs, `"cancelling":true`, `"cancelling":false`, `"ttlUs":600000`, `"ttlUs":3000000`,
-		`"dedupWindowUs":400000`, `"dedupWindowUs":5000000`)...).Replace(settings)
+		`"dedupWindowUs":400000`, `"dedupWindowUs":5000000`)...).Replace(defaultSettings)
 }
 
 // clocksOff are settings by which clients' clocks may be off by a second, so that ops are kept for longer than told.
 func clocksOff() string {
-	return patient(`"targetLatencyUs":200000`, `"targetLatencyUs":1000000`,
+	return longTTLSettings(`"targetLatencyUs":200000`, `"targetLatencyUs":1000000`,
 		`"groupSize":1`, `"guarantees":{"leftOffUs":1000000},"groupSize":1`)
 }
 
@@ -49,7 +49,7 @@
 	t.Helper()
 	f.start()
 	t.Cleanup(f.stop)
-	return f.client()
+	return f.newClient()
 }
 
 // startWithHosts does the same for a fleet of the origin and of such hosts: the first is called a, the next b.
@@ -58,7 +58,7 @@
 	for i, say := range hosts {
 		f.Host(string(rune('a'+i)), say)
 	}
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	return startFleet(t, f)
 }
 
@@ -74,8 +74,8 @@
 	requestTime = regexp.MustCompile(`[P,]d=([0-9.]+)`)
 )
 
-// send sends a command in one piece.
-func (c *client) send(t *testing.T, command string) request {
+// sendRequest sends a command in one piece.
+func (c *client) sendRequest(t *testing.T, command string) request {
 	t.Helper()
 	r := request{id: requestID.FindStringSubmatch(command)[1]}
 	var err error
@@ -89,17 +89,17 @@
 	return r
 }
 
-// answer reads one answer and returns its first line.
-func (c *client) answer(t *testing.T) string {
+// readAnswer reads one answer and returns its first line.
+func (c *client) readAnswer(t *testing.T) string {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(answerWait))
-	line, err := c.r.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
 	var size int
 	if n, _ := fmt.Sscanf(line, "VA %d", &size); n == 1 {
-		if _, err := c.r.Discard(size + len("\r\n")); err != nil {
+		if _, err := c.reader.Discard(size + len("\r\n")); err != nil {
 			t.Fatalf("half an answer: %v", err)
 		}
 	}
@@ -109,7 +109,7 @@
 // wantAnswer reads one answer and fails where it does not begin so.
 func (c *client) wantAnswer(t *testing.T, beginning string) {
 	t.Helper()
-	if got := c.answer(t); !strings.HasPrefix(got, beginning) {
+	if got := c.readAnswer(t); !strings.HasPrefix(got, beginning) {
 		t.Errorf("answer %q, want %q", got, beginning)
 	}
 }
@@ -124,8 +124,8 @@
 	return own
 }
 
-// checkNoMoreThanLeft fails for each attempt of a request that tells more than was left to its client, or nothing.
-func (f *fleet) checkNoMoreThanLeft(t *testing.T, r request) {
+// checkTimeLeftLimit fails for each attempt of a request that tells more than was left to its client, or nothing.
+func (f *fleet) checkTimeLeftLimit(t *testing.T, r request) {
 	t.Helper()
 	for _, a := range f.attempts(r) {
 		left := r.left(a)
@@ -138,7 +138,7 @@
 // checkTimeLeft does the same, and fails for attempts that tell much less than was left.
 func (f *fleet) checkTimeLeft(t *testing.T, r request) {
 	t.Helper()
-	f.checkNoMoreThanLeft(t, r)
+	f.checkTimeLeftLimit(t, r)
 	for _, a := range f.attempts(r) {
 		if left := r.left(a); float64(a.TimeLeft) < leastPart*float64(left) {
 			t.Errorf("op %s, %s at %s: told d=%s, needlessly small: %v of %v was left", a.Op, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
@@ -161,8 +161,8 @@
 	}
 }
 
-// after has a host take so long for each answer.
-func after(took time.Duration, say func([]string) string) func([]string) string {
+// delayed has a host take so long for each answer.
+func delayed(took time.Duration, say func([]string) string) func([]string) string {
 	return func(words []string) string {
 		time.Sleep(took)
 		return say(words)
@@ -174,9 +174,9 @@
 
 // A read that misses after a slow host goes on to the origin with what the host has left of its time.
 func TestTimeLeftAfterSlowMiss(t *testing.T) {
-	f := &fleet{sets: patient()}
-	c := startWithHosts(t, f, after(300*time.Millisecond, miss))
-	r := c.send(t, "mg k v O1 Pc=once,d=900\r\n")
+	f := &fleet{settings: longTTLSettings()}
+	c := startWithHosts(t, f, delayed(300*time.Millisecond, miss))
+	r := c.sendRequest(t, "mg k v O1 Pc=once,d=900\r\n")
 	c.wantAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "a", standin.OriginID)
 	f.checkTimeLeft(t, r)
@@ -184,9 +184,9 @@
 
 // The second and the third attempt of an op, behind hosts that break late, are told what the ones before have left.
 func TestTimeLeftAfterLateBreaks(t *testing.T) {
-	f := &fleet{sets: patient()}
-	c := startWithHosts(t, f, after(300*time.Millisecond, breaks), after(300*time.Millisecond, breaks))
-	r := c.send(t, "mg k v O1 Pc=put,d=1500\r\n")
+	f := &fleet{settings: longTTLSettings()}
+	c := startWithHosts(t, f, delayed(300*time.Millisecond, breaks), delayed(300*time.Millisecond, breaks))
+	r := c.sendRequest(t, "mg k v O1 Pc=put,d=1500\r\n")
 	c.wantAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "[ab]", "[ab]", standin.OriginID)
 	f.checkTimeLeft(t, r)
@@ -194,7 +194,7 @@
 
 // The same behind a host that answers with a failure late, and one that misses late.
 func TestTimeLeftAfterLateFailure(t *testing.T) {
-	f := &fleet{sets: patient()}
+	f := &fleet{settings: longTTLSettings()}
 	var asked atomic.Int32
 	failsFirst := func(words []string) string {
 		time.Sleep(300 * time.Millisecond)
@@ -204,7 +204,7 @@
 		return miss(words)
 	}
 	c := startWithHosts(t, f, failsFirst, failsFirst)
-	r := c.send(t, "mg k v O1 Pc=put,d=1500\r\n")
+	r := c.sendRequest(t, "mg k v O1 Pc=put,d=1500\r\n")
 	c.wantAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "[ab]", "[ab]", standin.OriginID)
 	f.checkTimeLeft(t, r)
@@ -212,8 +212,8 @@
 
 // A client's repeat is told what is left as any other op is, and its mark and all else in the list go on as they are.
 func TestTimeLeftOfRepeat(t *testing.T) {
-	f := &fleet{sets: patient()}
-	c := startWithHosts(t, f, after(300*time.Millisecond, miss))
+	f := &fleet{settings: longTTLSettings()}
+	c := startWithHosts(t, f, delayed(300*time.Millisecond, miss))
 	for _, op := range []struct {
 		id, command string
 		attributes  string
@@ -224,8 +224,8 @@
 		{"2", "mg k2 v O2 Pd=900,k=m8,c=once\r\n", "d=..,k=m8,c=once", false, []string{"a", standin.OriginID}},
 		{"3", "ms k3 5 O3 Pr=1,k=m9,c=put,d=900\r\nvalue\r\n", "r=1,k=m9,c=put,d=..", true, []string{standin.OriginID}},
 	} {
-		r := c.send(t, op.command)
-		c.answer(t)
+		r := c.sendRequest(t, op.command)
+		c.readAnswer(t)
 		f.checkServers(t, r, op.servers...)
 		f.checkTimeLeft(t, r)
 		for _, a := range f.attempts(r) {
@@ -238,9 +238,9 @@
 
 // Where clients' clocks may be off, an op is kept for longer than its client says, but servers are told what it says.
 func TestTimeLeftWithClocksOff(t *testing.T) {
-	f := &fleet{sets: clocksOff()}
-	c := startWithHosts(t, f, after(150*time.Millisecond, miss))
-	r := c.send(t, "mg k v O1 Pc=once,d=500\r\n")
+	f := &fleet{settings: clocksOff()}
+	c := startWithHosts(t, f, delayed(150*time.Millisecond, miss))
+	r := c.sendRequest(t, "mg k v O1 Pc=once,d=500\r\n")
 	c.wantAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "a", standin.OriginID)
 	f.checkTimeLeft(t, r)
@@ -248,9 +248,9 @@
 
 // There too no attempt begins once the client has stopped waiting, by its own word, and the client is answered.
 func TestNoAttemptBehindTimeLeftWithClocksOff(t *testing.T) {
-	f := &fleet{sets: clocksOff()}
-	c := startWithHosts(t, f, after(500*time.Millisecond, breaks), after(500*time.Millisecond, breaks))
-	r := c.send(t, "mg k v O1 Pc=put,d=300\r\n")
+	f := &fleet{settings: clocksOff()}
+	c := startWithHosts(t, f, delayed(500*time.Millisecond, breaks), delayed(500*time.Millisecond, breaks))
+	r := c.sendRequest(t, "mg k v O1 Pc=put,d=300\r\n")
 	c.wantAnswer(t, "SERVER_ERROR ")
 	time.Sleep(time.Until(r.sent.Add(800 * time.Millisecond))) // the host has broken, and another attempt would have come
 	f.checkServers(t, r, "[ab]")
@@ -259,10 +259,10 @@
 
 // A fraction of a ms is never rounded up.
 func TestTimeLeftWithFraction(t *testing.T) {
-	f := &fleet{sets: patient()}
+	f := &fleet{settings: longTTLSettings()}
 	c := startWithHosts(t, f, miss)
 	for i, told := range []string{"499.9", "300.5", "250.001"} {
-		r := c.send(t, fmt.Sprintf("mg k%d v O%d Pc=once,d=%s\r\n", i, i, told))
+		r := c.sendRequest(t, fmt.Sprintf("mg k%d v O%d Pc=once,d=%s\r\n", i, i, told))
 		c.wantAnswer(t, "VA 7 O")
 		f.checkServers(t, r, "a", standin.OriginID)
 		f.checkTimeLeft(t, r)
@@ -272,18 +272,18 @@
 // Where next to nothing is left no attempt tells more than that, nor 0, and the client is answered, also where ops are kept
 // for longer than told.
 func TestTimeLeftUnderOneMillisecond(t *testing.T) {
-	for _, settings := range []struct{ name, text string }{{"usual", patient()}, {"clocks off", clocksOff()}} {
+	for _, settings := range []struct{ name, text string }{{"usual", longTTLSettings()}, {"clocks off", clocksOff()}} {
 		t.Run(settings.name, func(t *testing.T) {
-			f := &fleet{sets: settings.text}
+			f := &fleet{settings: settings.text}
 			c := startWithHosts(t, f, miss)
 			var sent []request
 			for i, told := range []string{"0.05", "0.5", "0.9", "1", "1.5", "2.9", "12.5"} {
-				sent = append(sent, c.send(t, fmt.Sprintf("mg k%d v O%d Pc=once,d=%s\r\n", i, i, told)))
-				c.answer(t)
+				sent = append(sent, c.sendRequest(t, fmt.Sprintf("mg k%d v O%d Pc=once,d=%s\r\n", i, i, told)))
+				c.readAnswer(t)
 			}
 			time.Sleep(100 * time.Millisecond) // what was still on its way has been heard
 			for _, r := range sent {
-				f.checkNoMoreThanLeft(t, r)
+				f.checkTimeLeftLimit(t, r)
 			}
 		})
 	}
--- a/cmd/larchthread/trial.go
+++ b/cmd/larchthread/trial.go
@@ -56,7 +56,7 @@
 			plans, err := t.plans(files)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), err)
-				return exit(exitUsage)
+				return exitError(exitUsage)
 			}
 			return t.play(c, plans)
 		}}
@@ -136,11 +136,11 @@
 		r, err := run(ctx, p)
 		if err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
-			return exit(exitFound)
+			return exitError(exitFailure)
 		}
 		if err := t.tell(c.OutOrStdout(), r, len(plans) > 1); err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
-			return exit(exitFound)
+			return exitError(exitFailure)
 		}
 		if !r.Failed() {
 			continue
@@ -149,14 +149,14 @@
 			least, err := trial.Shrink(ctx, p, r.Rules(), run)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
-				return exit(exitFound)
+				return exitError(exitFailure)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "the least plan that breaks it too:\n%s", least)
 		}
 	}
 	if failed > 0 {
 		fmt.Fprintf(c.ErrOrStderr(), "%d of %d plans broke a rule\n", failed, len(plans))
-		return exit(exitFound)
+		return exitError(exitFailure)
 	}
 	return nil
 }
--- a/cmd/larchthread/trial_test.go
+++ b/cmd/larchthread/trial_test.go
@@ -17,8 +17,8 @@
 	"larchthread/internal/trial"
 )
 
-// tryPlan plays a plan on processes of this binary.
-func tryPlan(t *testing.T, p trial.Plan) *trial.Result {
+// runPlan plays a plan on processes of this binary.
+func runPlan(t *testing.T, p trial.Plan) *trial.Result {
 	t.Helper()
 	cluster := &trial.Cluster{Program: os.Args[0], Args: []string{"serve"}, Env: []string{"LARCHTHREAD_SERVE=1"}}
 	r, err := cluster.Run(context.Background(), p)
@@ -90,7 +90,7 @@
 			t.Run(name, func(t *testing.T) {
 				two <- true
 				defer func() { <-two }()
-				r := tryPlan(t, p)
+				r := runPlan(t, p)
 				if least := 0.3; r.Service() < least {
 					t.Errorf("%.2f of the ops in time, want %v", r.Service(), least)
 				}
@@ -168,7 +168,7 @@
 	os.WriteFile(bad, []byte("faults:\n- {at: 1s, for: 1s, what: kill, of: [b7]}\n"), 0o600)
 	os.WriteFile(empty, nil, 0o600)
 	for _, args := range [][]string{{}, {bad}, {empty}, {"--draw", "2", bad}, {bad + "x"}} {
-		c := command()
+		c := newRootCommand()
 		var said bytes.Buffer
 		c.SetOut(&said)
 		c.SetErr(&said)
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := tryPlan(t, p)
+	r := runPlan(t, p)
 	var html bytes.Buffer
 	if err := r.HTML(&html); err != nil {
 		t.Fatal(err)
--- a/cmd/larchthread/upgrade_test.go
+++ b/cmd/larchthread/upgrade_test.go
@@ -13,35 +13,35 @@
 // Three upgrades in a row under load: no op fails, no connection breaks, also one that stands in the middle of a command; and
 // a host taken out by hand before the first stays out, though the list names it as ready.
 func Example_upgrade() {
-	f := &fleet{admin: freeAddress()}
+	f := &fleet{adminAddress: freeAddress()}
 	varied := func(words []string) string { // so that a stall of the test's is not taken for a host that hangs
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
 	}
 	f.Host("a", varied)
 	f.Host("x", varied)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	fmt.Println(f.call("POST", "/maintenance/enter", "x"))
-	f.heard()
-	done := f.load(12)
-	half := f.client()
-	half.say(0, "ms k 4 O1 Pc=put,d=900\r\nab")
+	fmt.Println(f.callAdmin("POST", "/maintenance/enter", "x"))
+	f.printNotes()
+	done := f.startLoad(12)
+	half := f.newClient()
+	half.sendAndPrint(0, "ms k 4 O1 Pc=put,d=900\r\nab")
 	for range 3 {
-		f.upgrade()
+		f.upgradeAndPrint()
 	}
-	half.say(1, "cd\r\n")
+	half.sendAndPrint(1, "cd\r\n")
 	time.Sleep(50 * time.Millisecond)
 	done()
 	fmt.Println("x heard of it:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
 	f.Forget()
-	fmt.Println(f.call("POST", "/maintenance/exit", "x"))
-	c := f.client()
+	fmt.Println(f.callAdmin("POST", "/maintenance/exit", "x"))
+	c := f.newClient()
 	for i := range 20 {
-		c.say(0, fmt.Sprintf("mg k%d v O%d Pc=read,d=500\r\n", i, i))
-		c.r.ReadString('\n')
-		c.r.ReadString('\n')
+		c.sendAndPrint(0, fmt.Sprintf("mg k%d v O%d Pc=read,d=500\r\n", i, i))
+		c.reader.ReadString('\n')
+		c.reader.ReadString('\n')
 	}
 	fmt.Println("x hears of it:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
 	// Output:
@@ -59,33 +59,33 @@
 // While two processes live, a word on maintenance to either binds both; a successor that dies leaves the old one as it was,
 // before its yes and after it; and where it can't be asked, the two share the address.
 func Example_upgradeThatFails() {
-	f := &fleet{admin: freeAddress()}
+	f := &fleet{adminAddress: freeAddress()}
 	f.Host("x", hit)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	first, old := f.admin, f.process
-	second := f.beside()
-	fmt.Println(f.call("POST", "/maintenance/enter", "x"))
-	f.admin, first = first, f.admin
-	fmt.Println(strings.Contains(f.call("GET", "/status/metrics", ""), "skipped_cache_hosts:1"))
-	fmt.Println(f.call("POST", "/maintenance/exit", "x"))
-	f.admin, first = first, f.admin
-	fmt.Println(strings.Contains(f.call("GET", "/status/metrics", ""), "skipped_cache_hosts:0"))
+	first, old := f.adminAddress, f.process
+	second := f.startSuccessor()
+	fmt.Println(f.callAdmin("POST", "/maintenance/enter", "x"))
+	f.adminAddress, first = first, f.adminAddress
+	fmt.Println(strings.Contains(f.callAdmin("GET", "/status/metrics", ""), "skipped_cache_hosts:1"))
+	fmt.Println(f.callAdmin("POST", "/maintenance/exit", "x"))
+	f.adminAddress, first = first, f.adminAddress
+	fmt.Println(strings.Contains(f.callAdmin("GET", "/status/metrics", ""), "skipped_cache_hosts:0"))
 	second.Process.Kill()
 	second.Wait()
 	f.process = old
-	c := f.client()
-	c.say(2, "mg k v O1 Pc=read,d=900\r\n")
-	f.upgrade() // the next finds it all the same
-	c.say(2, "mg k v O2 Pc=read,d=900\r\n")
+	c := f.newClient()
+	c.sendAndPrint(2, "mg k v O1 Pc=read,d=900\r\n")
+	f.upgradeAndPrint() // the next finds it all the same
+	c.sendAndPrint(2, "mg k v O2 Pc=read,d=900\r\n")
 	f.process.Process.Signal(syscall.SIGSTOP) // it answers nobody
-	third := f.beside()
-	c = f.client()
+	third := f.startSuccessor()
+	c = f.newClient()
 	f.process.Process.Kill()
 	f.process.Wait()
 	f.process = third
-	f.client().say(2, "mg k v O3 Pc=read,d=900\r\n")
+	f.newClient().sendAndPrint(2, "mg k v O3 Pc=read,d=900\r\n")
 	// Output:
 	// 200 done
 	// true
@@ -104,26 +104,26 @@
 // was killed, an old process killed before it was told to go, a new configuration for both, and two successors at once.
 // Each ends in one balancer that serves.
 func Example_upgradeAmidTroubles() {
-	f := &fleet{admin: freeAddress(), tmp: filepath.Join(os.TempDir(), strings.Repeat("long", 30), fmt.Sprint(os.Getpid()))}
-	os.MkdirAll(f.tmp, 0o700)
-	defer os.RemoveAll(filepath.Dir(f.tmp))
+	f := &fleet{adminAddress: freeAddress(), tempDir: filepath.Join(os.TempDir(), strings.Repeat("long", 30), fmt.Sprint(os.Getpid()))}
+	os.MkdirAll(f.tempDir, 0o700)
+	defer os.RemoveAll(filepath.Dir(f.tempDir))
 	f.Host("a", hit)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
 	n := 0
 	serves := func(what string) {
 		n++
 		fmt.Println(what)
-		f.client().say(2, fmt.Sprintf("mg k v O%d Pc=read,d=900\r\n", n))
+		f.newClient().sendAndPrint(2, fmt.Sprintf("mg k v O%d Pc=read,d=900\r\n", n))
 	}
-	f.upgrade()
+	f.upgradeAndPrint()
 	serves("a long path")
 	f.process.Process.Kill()
 	f.process.Wait()
-	f.process = f.beside()
+	f.process = f.startSuccessor()
 	serves("a socket left behind")
-	second := f.beside()
+	second := f.startSuccessor()
 	for _, p := range []*exec.Cmd{f.process, second} {
 		p.Process.Signal(syscall.SIGHUP)
 	}
@@ -133,32 +133,32 @@
 	serves("the old one killed, both told of a new configuration")
 	var both [2]*exec.Cmd
 	var at [2]string
-	usual := f.path
+	usual := f.configPath
 	for i := range both {
-		f.path, f.admin = fmt.Sprint(usual, i), freeAddress()
-		defer os.Remove(f.path)
-		f.write(f.watched)
-		both[i], at[i] = f.run(), f.admin
+		f.configPath, f.adminAddress = fmt.Sprint(usual, i), freeAddress()
+		defer os.Remove(f.configPath)
+		f.writeConfig(f.discoveryAddress)
+		both[i], at[i] = f.startProcess(), f.adminAddress
 	}
-	f.path = usual
+	f.configPath = usual
 	for i := range both {
-		f.admin = at[i]
+		f.adminAddress = at[i]
 		for range 500 {
-			if f.call("GET", "/status", "") == "200 serving" {
+			if f.callAdmin("GET", "/status", "") == "200 serving" {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		fmt.Println(f.call("GET", "/status", ""))
+		fmt.Println(f.callAdmin("GET", "/status", ""))
 	}
 	last := both[0]
 	f.process.Process.Signal(syscall.SIGTERM)
 	fmt.Println("the old one ends:", f.process.Wait())
 	both[1].Process.Signal(syscall.SIGTERM) // whichever was last: the other has its place, or takes it back
 	fmt.Println("one of the two ends:", both[1].Wait())
-	f.process, f.admin = last, at[0]
+	f.process, f.adminAddress = last, at[0]
 	serves("two successors at once")
-	fmt.Println(f.call("GET", "/status", ""))
+	fmt.Println(f.callAdmin("GET", "/status", ""))
 	// Output:
 	// the old one ends: <nil>
 	// a long path
@@ -183,31 +183,31 @@
 // A process of another version refuses, or is refused, without harm: the two share the address. One that hangs up in the middle
 // of handing over, or talks nonsense, is given up as well.
 func Example_upgradeAcrossVersions() {
-	f, remove := newHandOverFleet("across")
+	f, remove := newHandoverFleet("across")
 	defer remove()
 	f.Host("a", hit)
-	f.Origin(fetch)
+	f.Origin(handleOrigin)
 	f.start()
 	defer f.stop()
-	newer := f.dialControl(2)
+	newer := f.dialHandover(2)
 	fmt.Println(newer.receive())
 	newer.Close()
 	for _, last := range []string{`{"word":"refused","version":2,"why":"another version"}`, `{"word":"list","list":{"revision":9,"members":[]}}`,
 		`{"word":"door"}`, `nonsense`} {
-		l := f.listenControl()
+		l := f.listenHandover()
 		go func() {
 			c, _ := l.Accept()
-			old := controlChannel{c}
+			old := handoverChannel{c}
 			old.receive()
 			old.send(last)
 			old.Close()
 		}()
 		old := f.process
-		f.process = f.beside()
+		f.process = f.startSuccessor()
 		l.Close()
 		old.Process.Kill()
 		old.Wait()
-		f.client().say(2, "mg k v O1 Pc=read,d=900\r\n")
+		f.newClient().sendAndPrint(2, "mg k v O1 Pc=read,d=900\r\n")
 	}
 	// Output:
 	// {"word":"refused","version":1,"why":"another version"}
