--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill runs the balancer's decisions on the simulator's wire, on standard input and output.
+// Command drill runs the routing decisions of the balancer for a simulator, which sends events on standard input and
+// reads actions from standard output.
 package main
 
 import (
--- a/cmd/larchthread/client_leaves_test.go
+++ b/cmd/larchthread/client_leaves_test.go
@@ -12,13 +12,13 @@
 	"larchthread/internal/standin"
 )
 
-// A client that leaves with more commands open than are read at once is seen to leave, and nothing of it goes out any more.
-// Its end was once not looked for while nothing was read.
+// A client that disconnects with more open commands than are read at once is noticed, and nothing more is sent
+// for it.
 func Example_leftWhilePaused() {
 	f := &fleet{}
 	var gone atomic.Int64
 	var late atomic.Int32
-	for _, name := range []string{"a", "b", "c", "d", "e", "f"} { // one that is silent is left for the next
+	for _, name := range []string{"a", "b", "c", "d", "e", "f"} { // a silent host is given up for the next one
 		f.Host(name, func([]string) string {
 			if at := gone.Load(); at > 0 && time.Since(time.UnixMilli(at)) > 100*time.Millisecond {
 				late.Add(1)
@@ -30,8 +30,8 @@
 	defer f.stop()
 	c := f.newClient()
 	var all strings.Builder
-	all.WriteString("mg k v Ofirst Pc=once,d=5000\r\n") // no answer comes before that to this one
-	for i := range 300 {                                // 256 are read
+	all.WriteString("mg k v Ofirst Pc=once,d=5000\r\n") // unanswered, so it blocks the answers behind it
+	for i := range 300 {                                // only 256 are read at once
 		fmt.Fprintf(&all, "mg k%d v O%d Pc=read,d=5000\r\n", i, i)
 	}
 	c.sendAndPrint(0, all.String())
@@ -46,22 +46,22 @@
 	// sent on late: 0
 }
 
-// A client that has left before its connection is accepted is not served: its op was once sent on, and called off behind it.
+// The op of a client that disconnected before its connection was accepted is not sent.
 func Example_leftBeforeAccept() {
 	f := &fleet{}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
 	other := f.newClient()
-	other.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n") // a connection to the host is open
+	other.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n") // opens a host connection
 	f.whileStopped(func() {
 		c := f.newClient()
 		c.sendAndPrint(0, "mg k v O2 Pc=read,d=5000\r\n")
 		c.Close()
 	})
-	again := "mg k v O3 Pc=read,d=500\r\n"
-	other.sendAndPrint(0, again)
-	fmt.Println("served on:", other.readValue("value", again)) // behind a stop some ops are nacked
+	retry := "mg k v O3 Pc=read,d=500\r\n"
+	other.sendAndPrint(0, retry)
+	fmt.Println("served on:", other.readValue("value", retry)) // some ops are nacked after a stall
 	fmt.Println("sent on:", f.countPushes("2"))
 	f.stopAndPrintReasons("called-off")
 	// Output:
@@ -72,7 +72,7 @@
 	// called-off 0
 }
 
-// A client that leaves amid a long answer has the rest called off at its host.
+// A client that disconnects during a long answer has the rest cancelled at its host.
 func Example_leftWhileAnswered() {
 	f := &fleet{}
 	l := standin.Anywhere()
@@ -97,14 +97,15 @@
 	// soon: true
 }
 
-// What comes behind the program's half of a connection has ended is not sent on, and the answers before are whole.
+// An op that arrives after the process has half-closed the connection is not sent, and earlier answers are
+// complete.
 func Example_opBehindTheHalfClose() {
 	f := &fleet{}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
-	c.sendAndPrint(3, "mg k v O1 Pc=read,d=500\r\n") // the end comes for idleness
+	c.sendAndPrint(3, "mg k v O1 Pc=read,d=500\r\n") // closed for idleness
 	c.sendAndPrint(0, "mg k v O2 Pc=read,d=500\r\n")
 	time.Sleep(300 * time.Millisecond)
 	fmt.Println("sent on:", f.countPushes("2"))
@@ -115,7 +116,7 @@
 	// sent on: 0
 }
 
-// A client that leaves while its long write goes out has that broken off: half a command does nothing.
+// A long write whose client disconnects is broken off, so that no partial write takes effect.
 func Example_leftWhileWritten() {
 	f := &fleet{}
 	f.Host("a", miss)
--- a/cmd/larchthread/clients_test.go
+++ b/cmd/larchthread/clients_test.go
@@ -13,8 +13,7 @@
 	"time"
 )
 
-// Where many connections have nothing open, those that have been idle for the longest time are closed, and new clients are
-// served.
+// At the connection limit the connections idle for longest are closed and new clients are served.
 func Example_sockets() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
 	f.Host("a", hit)
@@ -42,7 +41,7 @@
 	// closed some: true
 }
 
-// A flood of connections that say nothing makes room before those of usual clients, which once went first, being older.
+// Connections that never sent a command are closed before those of active clients.
 func Example_flood() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
 	f.Host("a", hit)
@@ -64,8 +63,8 @@
 	// value
 }
 
-// Clients that open a connection for each op and keep it find room: that with nothing open for longest is closed. Where
-// clients may have a third of the sockets at most, later ones were once not heard for seconds.
+// Clients that open a connection per op and keep it open cannot use up the sockets: the connections idle for
+// longest are closed.
 func Example_surplus() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
 	f.Host("a", hit)
@@ -92,7 +91,7 @@
 	// 16 of 40 open
 }
 
-// A command under the id of an open op is turned down, and that op goes on. Hosts once got both, and turned both away.
+// A command with the ID of an open op is rejected and does not affect that op.
 func Example_sameID() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -106,7 +105,7 @@
 	f.awaitNote("a: mg k v O1 Pc=read,d=..", 1)
 	other.sendAndPrint(1, "mg x v O1 Pc=read,d=500\r\n")
 	c.sendAndPrint(2, "")
-	other.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n") // it is free again
+	other.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n") // the ID is free again
 	f.printNotes()
 	// Output:
 	// CLIENT_ERROR O: "1" is the id of an open op
@@ -118,15 +117,14 @@
 	//   a: mg k v O1 Pc=read,d=..
 }
 
-// A client that goes away at once says nothing of the host: its kept connections stay. They were once closed as of a host
-// that has fallen silent.
+// A client that disconnects early does not count against the host: the host's other connections stay open.
 func Example_leaver() {
 	f := &fleet{}
 	f.Host("a", hitWithSlowKey(30*time.Millisecond))
 	f.start()
 	defer f.stop()
 	c := f.newClient()
-	c.sendAndPrint(4, "mg slow v O1 Pc=read,d=500\r\nmg slow v O2 Pc=read,d=500\r\n") // two connections
+	c.sendAndPrint(4, "mg slow v O1 Pc=read,d=500\r\nmg slow v O2 Pc=read,d=500\r\n") // opens two host connections
 	gone := f.newClient()
 	gone.sendAndPrint(0, "mg slow v O3 Pc=read,d=500\r\n")
 	f.awaitNote("a: mg slow v O3 Pc=read,d=..", 1)
@@ -145,8 +143,8 @@
 	// host-silent 0
 }
 
-// Hosts, the origin and clients that do all sorts of wrong things: each op of a client that stays is answered once and
-// in time, never with what was not made for it, and the program lives on.
+// Malformed answers and broken connections of hosts, the origin and clients: each op of a remaining client gets
+// one answer, in time and never with the value of another op, and the process survives.
 func Example_garbage() {
 	f := &fleet{}
 	var mu sync.Mutex
@@ -171,7 +169,8 @@
 		})
 	}
 	f.Origin(func(w http.ResponseWriter, r *http.Request) {
-		answer := []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + r.URL.Path[1:], "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
+		answer := []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + r.URL.Path[1:],
+			"HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
 			"HTTP/1.1 503 no\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n" + r.URL.Path[1:],
 			"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", "nonsense\r\n", "",
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n" + r.URL.Path[1:2]}[draw(8)]
@@ -228,7 +227,7 @@
 	// 0 wrong, 0 late, 0 unanswered
 }
 
-// A client that takes its answers late gets them all, also those to commands that were not read meanwhile.
+// A client that reads late gets all answers, including those to commands that were not yet read by the process.
 func Example_lateReader() {
 	f := &fleet{}
 	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
@@ -255,7 +254,7 @@
 	// 60 answers
 }
 
-// A client that does not take its answers costs neither the memory nor the service of the others.
+// Clients that do not read their answers cost other clients neither memory nor service.
 func Example_slowReader() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":256}`}
 	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
@@ -283,7 +282,7 @@
 	// closed some: true
 }
 
-// Neither do clients that begin large commands and never finish them.
+// Clients that send half of a large command cost other clients neither memory nor service.
 func Example_halfSent() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":512}`}
 	f.Host("a", hit)
@@ -296,7 +295,7 @@
 	}
 	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
 	c.sendAndPrint(0, ask)
-	fmt.Println("served:", c.readValue("value", ask)) // at first it may be late by the reading of the others, and nack
+	fmt.Println("served:", c.readValue("value", ask)) // the first attempts may be nacked while the other data is read
 	f.stop()
 	fmt.Println("closed some:", strings.Count(f.log.String(), "reason=half-sent") > 0, len(half))
 	// Output:
--- a/cmd/larchthread/commands.go
+++ b/cmd/larchthread/commands.go
@@ -15,25 +15,27 @@
 	"larchthread/internal/params"
 )
 
-// Exit codes.
+// Exit codes other than 0 for success.
 const (
-	exitFailure = 1 // what was asked about is refused, or differs; the balancer could not serve
-	exitUsage   = 2 // called wrongly, or a file to compare can't be used
+	exitFailure = 1 // a check failed, inputs differ, or the process could not run
+	exitUsage   = 2 // invalid command line, or an unusable input file
 )
 
-// exitError is an error that has been told already; only the code is left.
+// exitError is an exit code for an error that has already been printed.
 type exitError int
 
+// Error returns the exit code as text.
 func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// newRootCommand is the program's command line. Without a word it serves, as it did before there were words.
+// newRootCommand returns the command line of larchthread. Without a subcommand it serves, like the serve
+// command.
 func newRootCommand() *cobra.Command {
-	own := ""
+	operatorPath := ""
 	run := func(c *cobra.Command, _ []string) error {
 		path, set := os.LookupEnv("RELAY_CONFIG")
 		err := errors.New("RELAY_CONFIG is not set: set it to the path of the start file (README, \"Start a balancer\")")
 		if set && path != "" {
-			err = serve(path, own)
+			err = serve(path, operatorPath)
 		}
 		if err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
@@ -45,122 +47,132 @@
 		SilenceErrors: true, SilenceUsage: true, RunE: run,
 		Example: "  RELAY_CONFIG=/run/balancer/config.json larchthread\n  larchthread inventory check fleet.csv"}
 	root.CompletionOptions.DisableDefaultCmd = true
-	serving := &cobra.Command{Use: "serve", Short: "Serve, by the start file that RELAY_CONFIG names", Args: cobra.NoArgs, RunE: run,
+	serveCommand := &cobra.Command{Use: "serve", Short: "Serve with the start file named by RELAY_CONFIG", Args: cobra.NoArgs,
+		RunE:    run,
 		Example: "  RELAY_CONFIG=/run/balancer/config.json larchthread serve --own deploy/own.yaml"}
-	serving.Flags().StringVar(&own, "own", "", "the installation's own file: where the inventory stands")
-	root.AddCommand(serving, inventoryCommand(), configCommand(), versionCommand(), trialCommand(), tryCommand(), controlCommand(), scaleCommand())
+	serveCommand.Flags().StringVar(&operatorPath, "own", "", "path of the own file, which names the inventory file")
+	root.AddCommand(serveCommand, inventoryCommand(), configCommand(), versionCommand(), trialCommand(), tryCommand(),
+		controlCommand(), scaleCommand())
 	return root
 }
 
+// configCommand returns the command that checks configuration files.
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Look at start files, own files and control files", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return errors.New("want check") }}
-	c.AddCommand(&cobra.Command{Use: "check FILE...", Short: "Say whether files can be used, and every fault by its key",
-		Long: "Say whether files can be used, and every fault by its key. A file named .yaml or .yml is taken for an installation's\n" +
-			"own file, and the inventory that it names is looked at too, or for a control file where it has the key control;\n" +
-			"any other is taken for a start file.",
-		Args: cobra.MinimumNArgs(1), Example: "  larchthread config check /run/balancer/config.json deploy/own.yaml deploy/control.yaml",
-		RunE: func(c *cobra.Command, files []string) error { return check(c, files, checkConfigFile) }})
+	c := &cobra.Command{Use: "config", Short: "Check start files, own files and control files", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return errors.New("missing subcommand: check") }}
+	c.AddCommand(&cobra.Command{Use: "check FILE...", Short: "Validate files, and report each error with its key",
+		Long: "Validate files, and report each error with its key. A file named .yaml or .yml is read as a control file if it has\n" +
+			"the key control. Otherwise it is read as an own file, and the inventory file that it names is validated too.\n" +
+			"All other files are read as start files.",
+		Args:    cobra.MinimumNArgs(1),
+		Example: "  larchthread config check /run/balancer/config.json deploy/own.yaml deploy/control.yaml",
+		RunE:    func(c *cobra.Command, files []string) error { return checkFiles(c, files, checkConfigFile) }})
 	return c
 }
 
-// checkConfigFile reads a start file or an own file, and says what it holds.
+// checkConfigFile validates a start file, own file or control file, chosen by its extension and content, and
+// returns a one-line summary.
 func checkConfigFile(file string) (string, error) {
 	if ext := strings.ToLower(filepath.Ext(file)); ext != ".yaml" && ext != ".yml" {
-		told, err := params.ReadStartFile(file)
+		startFile, err := params.ReadStartFile(file)
 		if err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("a start file, listens on %v, categories: %d", told.Listen, len(told.Params.Categories)), nil
+		return fmt.Sprintf("a start file, listens on %v, categories: %d", startFile.Listen, len(startFile.Params.Categories)), nil
 	}
 	if text, err := os.ReadFile(file); err == nil && isControlFile(text) {
 		return checkControlFile(file)
 	}
-	own, err := params.ReadOperatorFile(file)
+	operatorFile, err := params.ReadOperatorFile(file)
 	switch {
 	case err != nil:
 		return "", err
-	case own.InventoryPath == "":
+	case operatorFile.InventoryPath == "":
 		return "an own file, hosts by discovery", nil
 	}
-	hosts, err := inventory.Load(own.InventoryPath)
-	return fmt.Sprintf("an own file, %d hosts by %s", len(hosts), own.InventoryPath), err
+	hosts, err := inventory.Load(operatorFile.InventoryPath)
+	return fmt.Sprintf("an own file, %d hosts by %s", len(hosts), operatorFile.InventoryPath), err
 }
 
-// check looks at each file in turn, and ends with a code that tells whether one was refused.
-func check(c *cobra.Command, files []string, look func(string) (string, error)) error {
-	bad := false
+// checkFiles runs inspect on each file, printing its summary to standard output or its error to standard error.
+// It returns exitFailure if any file was rejected.
+func checkFiles(c *cobra.Command, files []string, inspect func(string) (string, error)) error {
+	failed := false
 	for _, f := range files {
-		found, err := look(f)
+		summary, err := inspect(f)
 		if err != nil {
-			bad = true
+			failed = true
 			fmt.Fprintln(c.ErrOrStderr(), err)
 			continue
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", f, found)
+		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", f, summary)
 	}
-	if bad {
+	if failed {
 		return exitError(exitFailure)
 	}
 	return nil
 }
 
+// versionCommand returns the command that prints the version.
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "version", Short: "Print the version of this build", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
-				fmt.Fprintln(c.ErrOrStderr(), "larchthread: built without information on the build")
+				fmt.Fprintln(c.ErrOrStderr(), "larchthread: no build information available")
 				return exitError(exitFailure)
 			}
-			fmt.Fprintln(c.OutOrStdout(), version(info))
+			fmt.Fprintln(c.OutOrStdout(), buildVersion(info))
 			return nil
 		}}
 }
 
-// version is a build in one line: the module's version, the commit where the build knows it, and the toolchain.
-func version(info *debug.BuildInfo) string {
-	told := map[string]string{}
+// buildVersion formats a build as one line: module version, commit if recorded, Go version and platform.
+func buildVersion(info *debug.BuildInfo) string {
+	settings := map[string]string{}
 	for _, s := range info.Settings {
-		told[s.Key] = s.Value
+		settings[s.Key] = s.Value
 	}
 	text := "larchthread " + cmp.Or(info.Main.Version, "(devel)")
-	if r := told["vcs.revision"]; r != "" {
-		text += " commit " + r + " of " + told["vcs.time"]
-		if told["vcs.modified"] == "true" {
+	if r := settings["vcs.revision"]; r != "" {
+		text += " commit " + r + " of " + settings["vcs.time"]
+		if settings["vcs.modified"] == "true" {
 			text += ", with changes"
 		}
 	}
-	return text + " " + info.GoVersion + " " + told["GOOS"] + "/" + told["GOARCH"]
+	return text + " " + info.GoVersion + " " + settings["GOOS"] + "/" + settings["GOARCH"]
 }
 
+// inventoryCommand returns the command that checks and compares inventory files.
 func inventoryCommand() *cobra.Command {
-	c := &cobra.Command{Use: "inventory", Short: "Look at inventory files (docs/inventory.md)", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return errors.New("want check or diff") }}
+	c := &cobra.Command{Use: "inventory", Short: "Check and compare inventory files (docs/inventory.md)", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return errors.New("missing subcommand: check or diff") }}
 	c.AddCommand(
-		&cobra.Command{Use: "check FILE...", Short: "Say whether files can be used, and what is wrong by line", Args: cobra.MinimumNArgs(1),
+		&cobra.Command{Use: "check FILE...",
+			Short:   "Validate files, and report each error with its line",
+			Args:    cobra.MinimumNArgs(1),
 			Example: "  larchthread inventory check fleet.csv other.yaml",
 			RunE: func(c *cobra.Command, files []string) error {
-				return check(c, files, func(file string) (string, error) {
+				return checkFiles(c, files, func(file string) (string, error) {
 					hosts, err := inventory.Load(file)
 					return fmt.Sprintf("%d hosts", len(hosts)), err
 				})
 			}},
-		&cobra.Command{Use: "diff OLD NEW", Short: "Say what changes from one file to the other", Args: cobra.ExactArgs(2),
+		&cobra.Command{Use: "diff OLD NEW", Short: "List the changes from one file to the other", Args: cobra.ExactArgs(2),
 			Example: "  larchthread inventory diff fleet.csv fleet.yaml",
 			RunE: func(c *cobra.Command, files []string) error {
-				var lists [2][]inventory.Host
+				var inventories [2][]inventory.Host
 				for i, f := range files {
 					hosts, err := inventory.Load(f)
 					if err != nil {
 						fmt.Fprintln(c.ErrOrStderr(), err)
 						return exitError(exitUsage)
 					}
-					lists[i] = hosts
+					inventories[i] = hosts
 				}
-				changes := inventory.Diff(lists[0], lists[1])
-				for _, x := range changes {
-					fmt.Fprintln(c.OutOrStdout(), x)
+				changes := inventory.Diff(inventories[0], inventories[1])
+				for _, change := range changes {
+					fmt.Fprintln(c.OutOrStdout(), change)
 				}
 				if len(changes) > 0 {
 					return exitError(exitFailure)
@@ -170,7 +182,8 @@
 	return c
 }
 
-// execute runs the command line and returns the exit code.
+// execute runs the command line and returns the process's exit code. Errors that are not an exitError are
+// printed and count as wrong usage.
 func execute(c *cobra.Command) int {
 	err := c.Execute()
 	var code exitError
--- a/cmd/larchthread/commands_test.go
+++ b/cmd/larchthread/commands_test.go
@@ -12,7 +12,7 @@
 	"runtime/debug"
 )
 
-// The commands on inventory files say what they find, and end with a code that tells it.
+// The file commands print their findings and set the exit code.
 func Example_commands() {
 	dir, err := os.MkdirTemp("", "larchthread")
 	if err != nil {
@@ -29,17 +29,18 @@
 		"ill.yml":  "inventory: {look_ms: 1, fiel: x}\nhosts: 1\n",
 		"far.yaml": "inventory: {file: bad.csv}\n",
 		"low.yaml": "inventory: {look_ms: 1}\n",
-		"ok.json":  start(`"listen":"10.0.0.1:1","seed":"7"`, `"mostPushes":3`),
-		"ill.json": start(`"listen":"here","seed":"x"`, `"mostPushes":0`),
+		"ok.json":  startFileText(`"listen":"10.0.0.1:1","seed":"7"`, `"mostPushes":3`),
+		"ill.json": startFileText(`"listen":"here","seed":"x"`, `"mostPushes":0`),
 		"cut.json": "{\n\"listen\":\n",
 	} {
 		os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)
 	}
-	for _, line := range []string{"inventory check one.csv two.yaml", "inventory check one.csv bad.csv none.csv", "inventory diff one.csv two.yaml",
+	for _, line := range []string{"inventory check one.csv two.yaml", "inventory check one.csv bad.csv none.csv",
+		"inventory diff one.csv two.yaml",
 		"inventory diff one.csv one.csv", "inventory diff one.csv bad.csv", "inventory diff one.csv", "inventory", "fly", "serve now",
 		"config check ok.json own.yaml", "config check ill.json ill.yml low.yaml far.yaml cut.json", "config", "serve"} {
 		c := newRootCommand()
-		var said bytes.Buffer
+		var output bytes.Buffer
 		var words []string
 		for _, w := range strings.Fields(line) {
 			if strings.Contains(w, ".") {
@@ -48,10 +49,10 @@
 			words = append(words, w)
 		}
 		c.SetArgs(words)
-		c.SetOut(&said)
-		c.SetErr(&said)
+		c.SetOut(&output)
+		c.SetErr(&output)
 		code := execute(c)
-		fmt.Printf("%s: %d\n%s", line, code, strings.ReplaceAll(said.String(), dir+"/", ""))
+		fmt.Printf("%s: %d\n%s", line, code, strings.ReplaceAll(output.String(), dir+"/", ""))
 	}
 	// Output:
 	// inventory check one.csv two.yaml: 0
@@ -70,7 +71,7 @@
 	// larchthread: accepts 2 arg(s), received 1
 	// see larchthread --help
 	// inventory: 2
-	// larchthread: want check or diff
+	// larchthread: missing subcommand: check or diff
 	// see larchthread --help
 	// fly: 2
 	// larchthread: unknown command "fly" for "larchthread"
@@ -92,37 +93,38 @@
 	// bad.csv:2: address: "nowhere", want an IP address with a port
 	// start file cut.json: line 2: unexpected end of JSON input
 	// config: 2
-	// larchthread: want check
+	// larchthread: missing subcommand: check
 	// see larchthread --help
 	// serve: 1
 	// larchthread: RELAY_CONFIG is not set: set it to the path of the start file (README, "Start a balancer")
 }
 
-// start is a start file, with some of its fields and limits.
-func start(fields, limits string) string {
-	return `{"discovery":"10.0.0.2:1",` + fields + `,"limits":{"memory_mb":1,"sockets":99},"settings":{"groupSize":1,"discovery":"pushed",` +
+// startFileText returns a start file with the given fields and limits.
+func startFileText(fields, limits string) string {
+	return `{"discovery":"10.0.0.2:1",` + fields +
+		`,"limits":{"memory_mb":1,"sockets":99},"settings":{"groupSize":1,"discovery":"pushed",` +
 		`"categories":[{"name":"read","targetLatencyUs":1,"repeat":"retryable"}],"limits":{` + limits + `}}}`
 }
 
-// A build is told in one line; what it does not know of itself is left out.
+// Missing build information is left out of the version line.
 func Example_version() {
-	build := func(settings ...debug.BuildSetting) {
+	printVersion := func(settings ...debug.BuildSetting) {
 		info := &debug.BuildInfo{GoVersion: "go1.26", Settings: append(settings, debug.BuildSetting{Key: "GOOS", Value: "linux"},
 			debug.BuildSetting{Key: "GOARCH", Value: "amd64"})}
-		fmt.Println(version(info))
+		fmt.Println(buildVersion(info))
 	}
 	commit := []debug.BuildSetting{{Key: "vcs.revision", Value: "1f2e"}, {Key: "vcs.time", Value: "2026-12-01T10:00:00Z"}}
-	build()
-	build(commit...)
-	build(append(commit, debug.BuildSetting{Key: "vcs.modified", Value: "true"})...)
+	printVersion()
+	printVersion(commit...)
+	printVersion(append(commit, debug.BuildSetting{Key: "vcs.modified", Value: "true"})...)
 	// Output:
 	// larchthread (devel) go1.26 linux/amd64
 	// larchthread (devel) commit 1f2e of 2026-12-01T10:00:00Z go1.26 linux/amd64
 	// larchthread (devel) commit 1f2e of 2026-12-01T10:00:00Z, with changes go1.26 linux/amd64
 }
 
-// A fleet by hand: the file is watched while ops flow. Torn, empty and wrong files, written over and over, change nothing; a
-// host that is taken off the list hears nothing new within 500 ms, and one that is put back is used again.
+// Invalid or partially written inventory files are ignored under load; a host that is removed from the file gets
+// no new op after 500 ms, and one that is added back is used again.
 func Example_watchedInventory() {
 	dir, err := os.MkdirTemp("", "larchthread")
 	if err != nil {
@@ -144,19 +146,19 @@
 		return fmt.Sprintf("%s,%s,z,%s\n", at[1], at[2], kind)
 	}
 	text := "id,address,zone,kind\n" + line(0, "box") + line(2, "origin") + line(1, "box")
-	put := func(text string) { // replaced by a rename
+	replaceList := func(text string) { // atomic replacement
 		os.WriteFile(list+".new", []byte(text), 0o600)
 		os.Rename(list+".new", list)
 	}
-	put(text)
+	replaceList(text)
 	os.WriteFile(own, []byte("inventory: {file: fleet.csv, look_ms: 10}\n"), 0o600)
-	f.Members = nil // neither discovery nor the start file knows of them
+	f.Members = nil // neither discovery nor the start file lists hosts
 	f.start()
 	defer f.stop()
 	hosts := func() string {
 		return regexp.MustCompile("known_cache_hosts:[0-9]+").FindString(f.callAdmin("GET", "/status/metrics", ""))
 	}
-	soon := func(want string) bool {
+	awaitHosts := func(want string) bool {
 		for range 100 {
 			if hosts() == want {
 				return true
@@ -165,8 +167,8 @@
 		}
 		return false
 	}
-	fmt.Println(soon("known_cache_hosts:2"))
-	done := f.startLoad(6)
+	fmt.Println(awaitHosts("known_cache_hosts:2"))
+	stopLoad := f.startLoad(6)
 	partial := 0
 	for i := range 1500 {
 		torn := text[:i%len(text)]
@@ -177,38 +179,38 @@
 		if i%25 == 0 && hosts() != "known_cache_hosts:2" {
 			partial++
 		}
-		put(text)
+		replaceList(text)
 	}
 	fmt.Println("partial lists:", partial)
-	put(torn(text))
+	replaceList(truncate(text))
 	time.Sleep(60 * time.Millisecond)
 	os.Remove(list)
 	time.Sleep(60 * time.Millisecond)
 	fmt.Println(hosts(), strings.Count(f.log.String(), "inventory kept as it was") >= 2)
-	put(strings.TrimSuffix(text, line2(text)))
-	fmt.Println(soon("known_cache_hosts:1"))
+	replaceList(strings.TrimSuffix(text, lastLine(text)))
+	fmt.Println(awaitHosts("known_cache_hosts:1"))
 	time.Sleep(500 * time.Millisecond)
 	f.Forget()
 	time.Sleep(100 * time.Millisecond)
 	heard := strings.Join(f.Notes(), " ")
-	fmt.Println("a hears:", strings.Contains(heard, "a: mg"), "b hears:", strings.Contains(heard, "b: mg"))
-	put(text)
-	fmt.Println(soon("known_cache_hosts:2"))
-	done()
+	fmt.Println("a receives ops:", strings.Contains(heard, "a: mg"), "b receives ops:", strings.Contains(heard, "b: mg"))
+	replaceList(text)
+	fmt.Println(awaitHosts("known_cache_hosts:2"))
+	stopLoad()
 	// Output:
 	// true
 	// partial lists: 0
 	// known_cache_hosts:2 true
 	// true
-	// a hears: true b hears: false
+	// a receives ops: true b receives ops: false
 	// true
-	// served some hundreds: true
+	// served over 200 ops: true
 }
 
-// torn is a text without its end.
-func torn(text string) string { return text[:len(text)-3] }
+// truncate returns a text without its last three bytes.
+func truncate(text string) string { return text[:len(text)-3] }
 
-// line2 is a text's last line.
-func line2(text string) string {
+// lastLine returns the last line of a text.
+func lastLine(text string) string {
 	return text[strings.LastIndex(strings.TrimSuffix(text, "\n"), "\n")+1:]
 }
--- a/cmd/larchthread/control.go
+++ b/cmd/larchthread/control.go
@@ -22,26 +22,27 @@
 	"larchthread/internal/feed/feednet"
 )
 
-// eventLines is how many lines of events may wait for a reader of standard output. A follower whose reader is further behind
-// ends with an error: it would have to leave out events, and its reader would not know.
-const eventLines = 1 << 16
+// maxQueuedLines is how many output lines may wait for the reader of standard output. A follower whose reader
+// falls further behind exits with an error, because dropping events silently would corrupt the reader's state.
+const maxQueuedLines = 1 << 16
 
-// lastLinesWait is for how long the end of the process waits for a reader of standard output.
-const lastLinesWait = 5 * time.Second
+// outputFlushTimeout limits how long close waits for the reader of standard output.
+const outputFlushTimeout = 5 * time.Second
 
-// maxPublishLine is the longest line that a publisher reads.
+// maxPublishLine is the length in bytes of the longest line that a publisher reads.
 const maxPublishLine = 64 << 10
 
+// controlCommand returns the command that runs a node of the change feed.
 func controlCommand() *cobra.Command {
 	path := ""
 	command := &cobra.Command{
 		Use:   "control --config FILE",
 		Short: "Run a node of the change feed: a publisher, relay or follower (docs/control.md)",
-		Long: "Run a node of the change feed until SIGTERM. The link between nodes is plain TCP without sign-in: run it inside\n" +
-			"a trusted network only.\n\n" +
+		Long: "Run a node of the change feed until SIGTERM. Nodes talk plain TCP without authentication: run them inside a\n" +
+			"trusted network only.\n\n" +
 			"The first line on standard output is ready ADDRESS. A publisher reads lines \"settings KEY VALUE\" and \"purges KEY\"\n" +
-			"on standard input, and answers each with \"ok EPOCH/SEQUENCE\" once it is on disk, or with \"error TEXT\". A follower\n" +
-			"prints a line for each event.",
+			"on standard input, and answers each with \"ok EPOCH/SEQUENCE\" once it is stored on disk, or with \"error TEXT\".\n" +
+			"A follower prints a line for each event.",
 		Example: "  larchthread control --config deploy/control.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -54,23 +55,24 @@
 	}
 	command.Flags().StringVar(&path, "config", "", "the node's control file")
 	if err := command.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag is there
+		panic(err) // unreachable: the flag is defined above
 	}
 	return command
 }
 
-// runControl runs the node that a control file describes until it is told to stop.
+// runControl runs the node described by the control file at path until SIGTERM or SIGINT, or until the server or
+// the output fails.
 func runControl(path string, input io.Reader, output io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more must not end the program
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
 	options, err := readControlFile(path)
 	if err != nil {
 		return err
 	}
-	sink := newAsyncLogWriter(os.Stderr)
-	defer sink.close()
-	options.Log = slog.New(slog.NewTextHandler(sink, nil)).With("id", options.Feed.ID, "role", options.Feed.Role.String())
+	logWriter := newAsyncLogWriter(os.Stderr)
+	defer logWriter.close()
+	options.Log = slog.New(slog.NewTextHandler(logWriter, nil)).With("id", options.Feed.ID, "role", options.Feed.Role.String())
 	lines := newLineWriter(output)
 	options.OnEvent = func(event feed.Event) { lines.write(formatEvent(event)) }
 	server, err := feednet.Start(options)
@@ -88,17 +90,18 @@
 	case <-lines.failed:
 	}
 	err = server.Close()
-	publisher.settle()
+	publisher.waitForAnswer()
 	return errors.Join(err, lines.close())
 }
 
-// linePublisher publishes what comes on standard input, line by line, and answers each.
+// linePublisher publishes each line of standard input and writes one answer for it.
 type linePublisher struct {
-	server    *feednet.Server
-	lines     *lineWriter
-	answering sync.Mutex // held while a line is published, until its answer is queued
+	server *feednet.Server
+	lines  *lineWriter
+	mu     sync.Mutex // held from publishing a line until its answer is queued
 }
 
+// run publishes lines from input until its end, a read error, or a line longer than maxPublishLine.
 func (p *linePublisher) run(ctx context.Context, input io.Reader) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxPublishLine)
@@ -110,9 +113,10 @@
 	}
 }
 
+// publish publishes one line and queues its answer.
 func (p *linePublisher) publish(ctx context.Context, line string) {
-	p.answering.Lock()
-	defer p.answering.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	position, err := publishLine(ctx, p.server, line)
 	if err != nil {
 		p.lines.write(fmt.Sprintf("error %v", err))
@@ -121,13 +125,14 @@
 	p.lines.write(fmt.Sprintf("ok %v", position))
 }
 
-// settle returns once the line that was being published when the server ended has its answer.
-func (p *linePublisher) settle() {
-	p.answering.Lock()
-	defer p.answering.Unlock()
+// waitForAnswer returns once the answer to the line being published, if any, is queued.
+func (p *linePublisher) waitForAnswer() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 }
 
-// publishLine publishes what a line says.
+// publishLine parses and publishes one line of the form "settings KEY VALUE" or "purges KEY". It returns the
+// position of the change once it is stored.
 func publishLine(ctx context.Context, server *feednet.Server, line string) (feed.Position, error) {
 	kind, rest, _ := strings.Cut(line, " ")
 	key, value, hasValue := strings.Cut(rest, " ")
@@ -140,15 +145,15 @@
 	return feed.Position{}, fmt.Errorf("%q, want settings KEY VALUE or purges KEY", line)
 }
 
-// purgeKey returns what stands for an object in the feed: the hash of its key. A set of prefixes that takes the place of
-// purges goes by its first bytes.
-func purgeKey(object string) []byte {
-	return binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(object))
+// purgeKey returns the feed key of a purged object: the big-endian hash of the object's key. Purge sets are
+// summarized by prefixes of it.
+func purgeKey(objectKey string) []byte {
+	return binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(objectKey))
 }
 
-// lineWriter writes lines from a goroutine of its own, so that a slow reader does not stop the feed.
+// lineWriter writes lines from its own goroutine, so that a slow reader does not block the feed.
 type lineWriter struct {
-	failed chan struct{} // closed when a line could not be written
+	failed chan struct{} // closed on the first write error or when the queue is full
 
 	mu     sync.Mutex
 	err    error
@@ -157,12 +162,14 @@
 	done   chan struct{}
 }
 
+// newLineWriter starts a lineWriter for output.
 func newLineWriter(output io.Writer) *lineWriter {
-	writer := &lineWriter{failed: make(chan struct{}), lines: make(chan string, eventLines), done: make(chan struct{})}
+	writer := &lineWriter{failed: make(chan struct{}), lines: make(chan string, maxQueuedLines), done: make(chan struct{})}
 	go writer.run(output)
 	return writer
 }
 
+// run writes queued lines until the queue is closed or a write fails.
 func (w *lineWriter) run(output io.Writer) {
 	defer close(w.done)
 	for line := range w.lines {
@@ -173,7 +180,8 @@
 	}
 }
 
-// write queues a line. It never waits.
+// write queues a line without blocking. A full queue counts as a write error; after an error, lines are
+// discarded.
 func (w *lineWriter) write(line string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -183,17 +191,18 @@
 	select {
 	case w.lines <- line:
 	default:
-		w.failLocked(fmt.Errorf("standard output: %d lines have not been read", eventLines))
+		w.failLocked(fmt.Errorf("standard output: the reader is more than %d lines behind", maxQueuedLines))
 	}
 }
 
+// fail records err unless an earlier error is recorded.
 func (w *lineWriter) fail(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failLocked(err)
 }
 
-// failLocked notes the first error. w.mu is held.
+// failLocked records the first error and closes failed. w.mu must be held.
 func (w *lineWriter) failLocked(err error) {
 	if w.err == nil {
 		w.err = err
@@ -201,7 +210,7 @@
 	}
 }
 
-// close writes what is queued, unless writing has failed, and returns the error of that.
+// close flushes the queued lines and returns the first write error. It gives up after outputFlushTimeout.
 func (w *lineWriter) close() error {
 	w.mu.Lock()
 	if !w.closed {
@@ -215,8 +224,8 @@
 	}
 	select {
 	case <-w.done:
-	case <-time.After(lastLinesWait):
-		return errors.New("standard output: its reader has not taken the last lines")
+	case <-time.After(outputFlushTimeout):
+		return errors.New("standard output: timed out writing the last lines")
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/cmd/larchthread/control_config.go
+++ b/cmd/larchthread/control_config.go
@@ -19,7 +19,8 @@
 	"larchthread/internal/feed/feednet"
 )
 
-// The kinds of changes, by their index. All nodes of a cluster have the same.
+// Kinds of changes by index. The indices are part of the protocol and must be the same on all nodes of a
+// cluster.
 const (
 	settingsKind feed.Kind = iota
 	purgesKind
@@ -27,17 +28,18 @@
 
 // Defaults of the control file.
 const (
-	defaultSettingsWindow = 4096  // changes
-	defaultPurgesWindow   = 30000 // over 20 minutes at 22 a second
-	defaultMaxValueBytes  = 256   // with its key, it has to fit the burst
+	defaultSettingsWindow = 4096  // number of changes
+	defaultPurgesWindow   = 30000 // number of changes: over 20 minutes at 22 changes per second
+	defaultMaxValueBytes  = 256   // including the key, a change must fit into child_burst_bytes
 )
 
-// controlFile is the form of a control file. A field that is left out is zero, which stands for its default.
+// controlFile is the top level of a control file.
 type controlFile struct {
 	Control *controlSection `yaml:"control"`
 }
 
-// controlSection is all that a control file says.
+// controlSection is the content of a control file. Zero stands for the default of a field. Fields without
+// another unit in their key are counts; keys that end in _ms are milliseconds.
 type controlSection struct {
 	Cluster   string   `yaml:"cluster"`
 	ID        string   `yaml:"id"`
@@ -55,32 +57,32 @@
 	TotalBytesPerSecond int `yaml:"total_bytes_per_second"`
 	CoarseAfter         int `yaml:"coarse_after"`
 
-	Batch       int `yaml:"batch_ms"`
-	Heartbeat   int `yaml:"heartbeat_ms"`
-	Silence     int `yaml:"silence_ms"`
-	Dial        int `yaml:"dial_ms"`
-	RetryMin    int `yaml:"retry_min_ms"`
-	RetryMax    int `yaml:"retry_max_ms"`
-	MaxAge      int `yaml:"max_age_ms"`
-	Return      int `yaml:"return_ms"`
-	ReturnExtra int `yaml:"return_jitter_ms"`
+	Batch        int `yaml:"batch_ms"`
+	Heartbeat    int `yaml:"heartbeat_ms"`
+	Silence      int `yaml:"silence_ms"`
+	Dial         int `yaml:"dial_ms"`
+	RetryMin     int `yaml:"retry_min_ms"`
+	RetryMax     int `yaml:"retry_max_ms"`
+	MaxAge       int `yaml:"max_age_ms"`
+	Return       int `yaml:"return_ms"`
+	ReturnJitter int `yaml:"return_jitter_ms"`
 
 	Settings settingsSection `yaml:"settings"`
 	Purges   purgesSection   `yaml:"purges"`
 }
 
-// settingsSection is what is kept of settings.
+// settingsSection limits how much of the settings changes is kept.
 type settingsSection struct {
 	Window        int `yaml:"window"`
 	MaxValueBytes int `yaml:"max_value_bytes"`
 }
 
-// purgesSection is what is kept of purges.
+// purgesSection limits how much of the purges is kept.
 type purgesSection struct {
 	Window int `yaml:"window"`
 }
 
-// controlKeys are the keys of the fields that feed.Config refuses, by the names that its errors have for them.
+// controlKeys maps field names in errors of feed.Config to keys of the control file.
 var controlKeys = map[string]string{
 	"Cluster": "cluster", "ID": "id", "Role": "role", "Epoch": "epoch", "Parents": "parents",
 	"MaxChildren": "max_children", "ChildBytesPerSecond": "child_bytes_per_second", "ChildBurst": "child_burst_bytes",
@@ -92,18 +94,18 @@
 	"Kinds[1].Window": "purges.window",
 }
 
-// isControlFile tells whether a YAML text is a control file, and not an installation's own file.
+// isControlFile reports whether a YAML text is a control file rather than an own file.
 func isControlFile(text []byte) bool {
 	var top map[string]yaml.Node
 	if yaml.Unmarshal(text, &top) != nil {
 		return false
 	}
-	_, is := top["control"]
-	return is
+	_, ok := top["control"]
+	return ok
 }
 
-// readControlFile reads a control file. A path in it is taken from the file's directory. An error names every fault, each with
-// its key.
+// readControlFile reads and validates a control file. Relative paths in it are resolved against the file's
+// directory. The error lists every problem with its key.
 func readControlFile(path string) (feednet.Options, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -111,7 +113,7 @@
 	}
 	section, faults := parseControl(text)
 	if len(faults) == 0 {
-		faults = section.faults()
+		faults = section.validate()
 	}
 	if len(faults) > 0 {
 		for i, fault := range faults {
@@ -122,31 +124,31 @@
 	return section.options(filepath.Dir(path)), nil
 }
 
-// checkControlFile reads a control file, and says what it holds.
+// checkControlFile validates a control file and returns a one-line summary.
 func checkControlFile(path string) (string, error) {
 	options, err := readControlFile(path)
 	if err != nil {
 		return "", err
 	}
-	what := fmt.Sprintf("a control file of a %s in cluster %s", roleName(options.Feed.Role), options.Feed.Cluster)
+	summary := fmt.Sprintf("a control file of a %s in cluster %s", roleName(options.Feed.Role), options.Feed.Cluster)
 	if options.Listen != "" {
-		what += ", listens on " + options.Listen
+		summary += ", listens on " + options.Listen
 	}
-	return what, nil
+	return summary, nil
 }
 
-// parseControl reads a control file's form. Unknown keys and values of a wrong type are faults.
+// parseControl decodes a control file. Unknown keys and values of a wrong type are errors.
 func parseControl(text []byte) (controlSection, []error) {
 	var file controlFile
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
 	err := decoder.Decode(&file)
-	var wrong *yaml.TypeError
+	var typeError *yaml.TypeError
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &typeError):
 		var faults []error
-		for _, problem := range wrong.Errors {
-			problem, _, _ = strings.Cut(problem, " in type ") // the library names its caller's types
+		for _, problem := range typeError.Errors {
+			problem, _, _ = strings.Cut(problem, " in type ") // drops the name of the Go type
 			faults = append(faults, errors.New(problem))
 		}
 		return controlSection{}, faults
@@ -158,67 +160,67 @@
 	return *file.Control, nil
 }
 
-// roleNames are the roles by their names in the file.
-var roleNames = map[string]feed.Role{"publisher": feed.Publisher, "relay": feed.Relay, "follower": feed.Subscriber}
+// rolesByName maps role names of the control file to roles.
+var rolesByName = map[string]feed.Role{"publisher": feed.Publisher, "relay": feed.Relay, "follower": feed.Subscriber}
 
-// role returns the role, or 0 for one that is unknown.
+// role returns the node's role, or 0 if its name is unknown.
 func (s controlSection) role() feed.Role {
-	return roleNames[s.Role]
+	return rolesByName[s.Role]
 }
 
-// roleName returns a role's name in the file.
+// roleName returns the name of a role in the control file.
 func roleName(role feed.Role) string {
-	for name, named := range roleNames {
-		if named == role {
+	for name, candidate := range rolesByName {
+		if candidate == role {
 			return name
 		}
 	}
 	return role.String()
 }
 
-// faults returns all that is wrong with the section.
-func (s controlSection) faults() []error {
+// validate returns all errors of the section.
+func (s controlSection) validate() []error {
 	var faults []error
-	found := func(there bool, format string, arguments ...any) {
-		if there {
+	check := func(invalid bool, format string, arguments ...any) {
+		if invalid {
 			faults = append(faults, fmt.Errorf(format, arguments...))
 		}
 	}
 	role := s.role()
 	publishes, serves := role == feed.Publisher, role != feed.Subscriber
-	found(role == 0, "control.role: %q, want publisher, relay or follower", s.Role)
-	found(s.Cluster == "", "control.cluster: missing")
-	found(s.ID == "", "control.id: missing")
-	found(publishes && s.Epoch == 0, "control.epoch: missing, a publisher needs 1 or more")
-	found(!publishes && s.Epoch != 0, "control.epoch: only a publisher has one, leave it out")
-	found(serves && !isAddress(s.Listen), "control.listen: %q, want an IP address with a port", s.Listen)
-	found(!serves && s.Listen != "", "control.listen: a follower serves nobody, leave it out")
-	found(publishes && s.Directory == "", "control.directory: missing")
-	found(!publishes && s.Directory != "", "control.directory: only a publisher has one, leave it out")
-	found(publishes && len(s.Parents) > 0, "control.parents: a publisher has none, leave them out")
-	found(!publishes && len(s.Parents) == 0, "control.parents: missing")
+	check(role == 0, "control.role: %q, want publisher, relay or follower", s.Role)
+	check(s.Cluster == "", "control.cluster: missing")
+	check(s.ID == "", "control.id: missing")
+	check(publishes && s.Epoch == 0, "control.epoch: missing, a publisher needs 1 or more")
+	check(!publishes && s.Epoch != 0, "control.epoch: only a publisher has one, leave it out")
+	check(serves && !isAddress(s.Listen), "control.listen: %q, want an IP address with a port", s.Listen)
+	check(!serves && s.Listen != "", "control.listen: a follower serves nobody, leave it out")
+	check(publishes && s.Directory == "", "control.directory: missing")
+	check(!publishes && s.Directory != "", "control.directory: only a publisher has one, leave it out")
+	check(publishes && len(s.Parents) > 0, "control.parents: a publisher has none, leave them out")
+	check(!publishes && len(s.Parents) == 0, "control.parents: missing")
 	for i, parent := range s.Parents {
-		found(!isAddress(parent), "control.parents[%d]: %q, want an IP address with a port", i, parent)
+		check(!isAddress(parent), "control.parents[%d]: %q, want an IP address with a port", i, parent)
 	}
-	for _, number := range s.numbers() {
-		found(*number.value < 0, "control.%s: %d, want 1 or more", number.key, *number.value)
+	for _, number := range s.numericFields() {
+		check(*number.value < 0, "control.%s: %d, want 1 or more", number.key, *number.value)
 	}
 	if len(faults) > 0 {
 		return faults
 	}
-	return s.refusedNumbers()
+	return s.validateNumbers()
 }
 
-// refusedNumbers returns what feed.Config refuses. It tells one fault at a time, so each number that it names is put back to
-// its default before the next look.
-func (s controlSection) refusedNumbers() []error {
+// validateNumbers returns the errors of feed.Config. Config.Validate reports only its first error, so each
+// rejected number is reset to its default before the next call.
+func (s controlSection) validateNumbers() []error {
 	var faults []error
-	for range s.numbers() {
+	for range s.numericFields() {
 		err := s.feedConfig().Validate()
 		if err == nil {
 			break
 		}
-		key, problem := namedByKey(err)
+		key, problem := configErrorKey(err)
 		faults = append(faults, fmt.Errorf("control.%s: %s", key, problem))
 		if !s.reset(key) {
 			break
@@ -227,9 +229,10 @@
 	return faults
 }
 
-// reset puts a number back to its default. It returns false for a key that is no number's, or has its default already.
+// reset sets a number to its default. It returns false if the key is not that of a number or the number already
+// has its default.
 func (s *controlSection) reset(key string) bool {
-	for _, number := range s.numbers() {
+	for _, number := range s.numericFields() {
 		if number.key == key && *number.value != 0 {
 			*number.value = 0
 			return true
@@ -238,53 +241,55 @@
 	return false
 }
 
-// controlNumber is a number with its key.
-type controlNumber struct {
+// numericField is a numeric field and its key.
+type numericField struct {
 	key   string
 	value *int
 }
 
-// numbers are all numbers that may not be negative.
-func (s *controlSection) numbers() []controlNumber {
-	return []controlNumber{
+// numericFields returns all fields that must not be negative.
+func (s *controlSection) numericFields() []numericField {
+	return []numericField{
 		{"max_children", &s.MaxChildren}, {"child_bytes_per_second", &s.ChildBytesPerSecond},
 		{"child_burst_bytes", &s.ChildBurstBytes}, {"relay_bytes_per_second", &s.RelayBytesPerSecond},
 		{"total_bytes_per_second", &s.TotalBytesPerSecond}, {"coarse_after", &s.CoarseAfter},
 		{"batch_ms", &s.Batch}, {"heartbeat_ms", &s.Heartbeat}, {"silence_ms", &s.Silence}, {"dial_ms", &s.Dial},
 		{"retry_min_ms", &s.RetryMin}, {"retry_max_ms", &s.RetryMax}, {"max_age_ms", &s.MaxAge},
-		{"return_ms", &s.Return}, {"return_jitter_ms", &s.ReturnExtra}, {"settings.window", &s.Settings.Window},
+		{"return_ms", &s.Return}, {"return_jitter_ms", &s.ReturnJitter}, {"settings.window", &s.Settings.Window},
 		{"settings.max_value_bytes", &s.Settings.MaxValueBytes}, {"purges.window", &s.Purges.Window},
 	}
 }
 
-// namedByKey returns the key in the file of what feed.Config refuses, and what is wrong with it.
-func namedByKey(err error) (key, problem string) {
-	var refused *feed.ConfigError
-	if !errors.As(err, &refused) {
+// configErrorKey returns the control file's key for an error of feed.Config, and the problem without the field
+// name.
+func configErrorKey(err error) (key, problem string) {
+	var configError *feed.ConfigError
+	if !errors.As(err, &configError) {
 		return "", err.Error()
 	}
-	if key, known := controlKeys[refused.Field]; known {
-		return key, refused.Problem
+	if key, ok := controlKeys[configError.Field]; ok {
+		return key, configError.Problem
 	}
-	field, index, _ := strings.Cut(refused.Field, "[")
-	return controlKeys[field] + "[" + index, refused.Problem
+	field, index, _ := strings.Cut(configError.Field, "[")
+	return controlKeys[field] + "[" + index, configError.Problem
 }
 
+// isAddress reports whether a text is an IP address with a port.
 func isAddress(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
 }
 
-// options returns the server's options. A directory that is not absolute is taken from base.
-func (s controlSection) options(base string) feednet.Options {
+// options returns the options of the node's server. A relative directory is resolved against base.
+func (s controlSection) options(baseDir string) feednet.Options {
 	options := feednet.Options{Feed: s.feedConfig(), Listen: s.Listen, Directory: s.Directory}
 	if s.Directory != "" && !filepath.IsAbs(s.Directory) {
-		options.Directory = filepath.Join(base, s.Directory)
+		options.Directory = filepath.Join(baseDir, s.Directory)
 	}
 	return options
 }
 
-// feedConfig returns the node's configuration.
+// feedConfig returns the node's feed configuration.
 func (s controlSection) feedConfig() feed.Config {
 	return feed.Config{
 		Cluster: s.Cluster, ID: s.ID, Role: s.role(), Epoch: s.Epoch, Parents: s.Parents,
@@ -297,12 +302,12 @@
 		RelayBytesPerSecond: s.RelayBytesPerSecond, TotalBytesPerSecond: s.TotalBytesPerSecond, CoarseAfter: s.CoarseAfter,
 		BatchEvery: milliseconds(s.Batch), HeartbeatEvery: milliseconds(s.Heartbeat), SilenceAfter: milliseconds(s.Silence),
 		DialTimeout: milliseconds(s.Dial), RetryMin: milliseconds(s.RetryMin), RetryMax: milliseconds(s.RetryMax),
-		MaxAge: milliseconds(s.MaxAge), ReturnAfter: milliseconds(s.Return), ReturnJitter: milliseconds(s.ReturnExtra),
+		MaxAge: milliseconds(s.MaxAge), ReturnAfter: milliseconds(s.Return), ReturnJitter: milliseconds(s.ReturnJitter),
 		Seed: s.seed(),
 	}
 }
 
-// seed returns the seed, or else one by the node's ID: nodes need different ones.
+// seed returns the configured seed, or one derived from cluster and node ID, because nodes need different seeds.
 func (s controlSection) seed() uint64 {
 	if s.Seed != 0 {
 		return s.Seed
@@ -312,6 +317,7 @@
 	return hash.Sum64()
 }
 
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(count int) time.Duration {
 	return time.Duration(count) * time.Millisecond
 }
--- a/cmd/larchthread/control_events.go
+++ b/cmd/larchthread/control_events.go
@@ -7,7 +7,7 @@
 	"larchthread/internal/feed"
 )
 
-// formatEvent returns the line that a follower prints for an event:
+// formatEvent returns the output line of a follower for an event, without the line feed:
 //
 //	applied settings EPOCH/SEQUENCE KEY VALUE
 //	applied purges EPOCH/SEQUENCE HASH
@@ -45,6 +45,7 @@
 	return fmt.Sprintf("unknown %T", event)
 }
 
+// formatApplied returns the line for a single change.
 func formatApplied(change feed.Change) string {
 	head := fmt.Sprintf("applied %s %v", kindName(change.Kind), change.Position)
 	if change.Kind == purgesKind {
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("%s %q %q", head, change.Key, change.Value)
 }
 
-// kindName is a kind's name in lines of input and output.
+// kindName returns the name of a kind in input and output lines.
 func kindName(kind feed.Kind) string {
 	switch kind {
 	case settingsKind:
--- a/cmd/larchthread/discovery_test.go
+++ b/cmd/larchthread/discovery_test.go
@@ -17,11 +17,11 @@
 	"larchthread/internal/standin"
 )
 
-// Lists are asked for also where the settings say that they are pushed: what discovery has is told to those who watch.
+// Discovery is also polled if the settings say that lists are pushed.
 func Example_pushedLists() {
 	f := &fleet{settings: replaceSetting(`"discovery":"on_request"`, `"discovery":"pushed"`)}
 	f.Host("a", hit)
-	f.start() // the watch stands
+	f.start() // the watch is established
 	defer f.stop()
 	f.drainFirstHost()
 	f.awaitNote("discovery: 2", 1)
@@ -30,8 +30,7 @@
 	// SERVER_ERROR busy ..
 }
 
-// A list that has moved on, or back, without a word on what has changed is asked for whole. Such a watch once went on for ever
-// by the old list.
+// If the revision changes without the changed entries, the full list is requested.
 func Example_watchWithoutEntries() {
 	for _, revision := range []int{7, 0} {
 		f := &fleet{}
@@ -49,8 +48,8 @@
 	// SERVER_ERROR busy ..
 }
 
-// Thirty balancers that start at once are ready, and told what has changed, though discovery takes their calls in turn and fails
-// those that have waited for too long.
+// Thirty balancers that start together become ready and learn of a change, although discovery answers one call
+// at a time and fails those that wait too long.
 func Example_thirtyStartAtOnce() {
 	f := &fleet{}
 	f.Host("a", hit)
@@ -104,13 +103,13 @@
 		c.Close()
 	}
 	f.awaitNote("told", 30)
-	fmt.Println(ready, "ready, all told in time:", time.Since(began) < 7*time.Second) // a second for their starts
+	fmt.Println(ready, "ready, all told in time:", time.Since(began) < 7*time.Second) // includes a second for starting the processes
 	f.Close()
 	// Output:
 	// 30 ready, all told in time: true
 }
 
-// SIGHUP while a call to the old discovery goes unanswered has the new one asked at once.
+// SIGHUP while a call to the old discovery address is pending polls the new address at once.
 func Example_reloadWhileCalled() {
 	f := &fleet{}
 	f.Host("a", hit)
--- a/cmd/larchthread/fleet_test.go
+++ b/cmd/larchthread/fleet_test.go
@@ -22,24 +22,24 @@
 	"larchthread/internal/standin"
 )
 
-// fleet is the program and all that it speaks to: cache hosts and an origin that do as they are told, and discovery.
+// fleet is the process under test with scripted cache hosts, origin and discovery.
 type fleet struct {
 	standin.ScriptedFleet
 	process          *exec.Cmd
-	discoveryAddress string   // discovery's address
-	args             []string // of the program's command line
-	tempDir          string   // directory where two processes find each other; empty for the usual one
+	discoveryAddress string   // address of the discovery server
+	args             []string // command-line arguments
+	tempDir          string   // directory of the hand-over sockets; empty for the default
 	listenAddress    string
-	adminAddress     string // operators' address, where there is one
-	configPath       string // of the configuration
+	adminAddress     string // empty for none
+	configPath       string // path of the start file
 	log              logBuffer
 	limits           string
-	settings         string // settings in place of the usual ones
+	settings         string // settings JSON; empty for defaultSettings
 	logOutput        io.Writer
-	servedOps        int // ops, where speed is measured
+	servedOps        int // ops served in benchmarks
 }
 
-// logBuffer is what processes have written to their logs, several at once.
+// logBuffer collects the logs of several processes.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -57,10 +57,11 @@
 	return l.text.String()
 }
 
-// What depends on the time is left out of traces: when to come again.
+// retryDelayPattern matches the retry delay in nacks, which depends on timing and is removed from printed
+// answers.
 var retryDelayPattern = regexp.MustCompile(`busy [1-9][0-9]+$`)
 
-// printNotes prints what has been noted since the last time, without discovery's calls: when those come is up to time.
+// printNotes prints the notes recorded since the last call, without discovery calls, whose timing varies.
 func (f *fleet) printNotes() {
 	for _, n := range f.Forget() {
 		if !strings.HasPrefix(n, "discovery") {
@@ -69,10 +70,10 @@
 	}
 }
 
-// oneName has the hosts x and x2 noted alike: which of them a key goes to first is of no matter.
-func (f *fleet) oneName() { f.Rename("x2:", "x:") }
+// mergeHostNames records hosts x and x2 under one name, for tests where either may be chosen first.
+func (f *fleet) mergeHostNames() { f.Rename("x2:", "x:") }
 
-// freeAddress is an address that nobody has.
+// freeAddress returns a free loopback address.
 func freeAddress() string {
 	address, err := standin.FreeAddress()
 	if err != nil {
@@ -81,6 +82,8 @@
 	return address.String()
 }
 
+// defaultSettings are the settings of most tests: retryable, deduplicated and at-most-once categories, with the
+// origin behind the cache hosts.
 const defaultSettings = `{"categories":[
 	{"name":"read","benefit":1,"targetLatencyUs":200000,"ttlUs":600000,"repeat":"retryable","tardyBenefit":0.5},
 	{"name":"put","benefit":1,"targetLatencyUs":200000,"ttlUs":600000,"repeat":"dedup","dedupWindowUs":400000,"tardyBenefit":0.5},
@@ -89,7 +92,7 @@
 	"specifics":{"mode":"aside","originKind":1},
 	"limits":{"mostPushes":3,"cancelling":true,"connIdleUs":60000000,"connectTimeoutUs":50000,"retryAfter":true,"maxRetryAfterUs":400000}}`
 
-// writeConfig writes the configuration.
+// writeConfig writes the start file with the given discovery address.
 func (f *fleet) writeConfig(discovery string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"admin":%q,"discovery":%q,"seed":"7","limits":%s,"known":%s,"settings":%s}`,
 		f.listenAddress, f.adminAddress, discovery, f.limits, standin.List(1, true, f.Members...), f.settings)
@@ -101,7 +104,7 @@
 	}
 }
 
-// start starts discovery and the program, and returns once its watch stands.
+// start starts discovery and the process, and returns once the process watches discovery.
 func (f *fleet) start() {
 	f.Changed = make(chan string, 4)
 	f.listenAddress = freeAddress()
@@ -122,7 +125,7 @@
 	f.Forget()
 }
 
-// waitForListener waits until an address takes connections.
+// waitForListener waits up to 5 s until an address accepts connections.
 func waitForListener(address string) {
 	for range 500 {
 		if c, err := net.Dial("tcp", address); err == nil {
@@ -133,7 +136,7 @@
 	}
 }
 
-// startProcess starts the program with the configuration as it stands.
+// startProcess starts a process with the current start file.
 func (f *fleet) startProcess() *exec.Cmd {
 	p := exec.Command(os.Args[0], f.args...)
 	p.Env = append(os.Environ(), "LARCHTHREAD_SERVE=1", "RELAY_CONFIG="+f.configPath)
@@ -150,7 +153,8 @@
 	return p
 }
 
-// startSuccessor starts a second process beside the running one, and returns once it says yes.
+// startSuccessor starts a second process next to the running one, and returns once the second reports that it
+// serves.
 func (f *fleet) startSuccessor() *exec.Cmd {
 	f.adminAddress = freeAddress()
 	f.writeConfig(f.discoveryAddress)
@@ -161,14 +165,14 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	fmt.Println("no yes")
+	fmt.Println("the successor did not start serving")
 	return p
 }
 
-// upgradeAndPrint has a second process take the place of the running one, and prints how that ends.
-func (f *fleet) upgradeAndPrint() { fmt.Println("the old one ends:", f.replaceProcess()) }
+// upgradeAndPrint replaces the running process and prints how the old one exits.
+func (f *fleet) upgradeAndPrint() { fmt.Println("old process exited:", f.replaceProcess()) }
 
-// replaceProcess has a second process take the place of the running one, and returns how that ends.
+// replaceProcess replaces the running process by a successor, and returns the exit error of the old one.
 func (f *fleet) replaceProcess() error {
 	old := f.process
 	f.process = f.startSuccessor()
@@ -176,7 +180,7 @@
 	return old.Wait()
 }
 
-// awaitNote waits until a note has come so many times.
+// awaitNote waits up to 5 s until a note has been recorded the given number of times.
 func (f *fleet) awaitNote(note string, times int) {
 	for range 500 {
 		n := 0
@@ -190,20 +194,20 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	fmt.Printf("never came: %q\n", note)
+	fmt.Printf("note was not recorded: %q\n", note)
 }
 
-// handoverSocketPath is where a process that takes over finds the running one.
+// handoverSocketPath returns the path of the socket at which a successor finds the running process.
 func (f *fleet) handoverSocketPath() string {
 	return filepath.Join(f.tempDir, "larchthread-"+strings.ReplaceAll(f.listenAddress, ":", "-"))
 }
 
-// drainFirstHost has discovery tell that the first host drains.
+// drainFirstHost has discovery announce that the first host drains.
 func (f *fleet) drainFirstHost() {
 	f.Changed <- standin.List(2, false, strings.Replace(f.Members[0], standin.InService, standin.Terminating, 1))
 }
 
-// stop ends what start began.
+// stop kills the process and closes what start opened.
 func (f *fleet) stop() {
 	f.process.Process.Kill()
 	f.process.Wait()
@@ -211,7 +215,8 @@
 	f.Close()
 }
 
-// stopAndPrintReasons prints how often connections ended for each of the reasons.
+// stopAndPrintReasons stops the process and prints how often its log gives each reason for the end of a
+// connection.
 func (f *fleet) stopAndPrintReasons(reasons ...string) {
 	f.process.Process.Signal(syscall.SIGTERM)
 	f.process.Wait()
@@ -220,12 +225,13 @@
 	}
 }
 
-// client is a connection of a client.
+// client is a client connection to the process.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
+// newClient connects to the process, with a deadline of 10 s for all reads and writes.
 func (f *fleet) newClient() *client {
 	c, err := net.Dial("tcp", f.listenAddress)
 	if err != nil {
@@ -235,7 +241,7 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-// sendAndPrint sends commands and prints so many lines of what comes back.
+// sendAndPrint sends commands and prints the given number of lines that come back.
 func (c *client) sendAndPrint(lines int, commands string) {
 	io.WriteString(c, commands)
 	for range lines {
@@ -248,20 +254,23 @@
 	}
 }
 
+// hit is a host that answers every command with the value "value".
 func hit(words []string) string { return "VA 5 O{id}\r\nvalue\r\n" }
 
+// miss is a host that answers every command with a miss.
 func miss(words []string) string { return "EN O{id}\r\n" }
 
-// hitWithSlowKey takes so long for the key that is called slow.
-func hitWithSlowKey(took time.Duration) func([]string) string {
+// hitWithSlowKey returns a host that answers with a hit, and delays the answer for the key "slow".
+func hitWithSlowKey(delay time.Duration) func([]string) string {
 	return func(words []string) string {
 		if words[1] == "slow" {
-			time.Sleep(took)
+			time.Sleep(delay)
 		}
 		return hit(words)
 	}
 }
 
+// handleOrigin is an origin that answers writes with "receipt" and reads with "fetched".
 func handleOrigin(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		io.WriteString(w, "receipt")
@@ -270,33 +279,34 @@
 	io.WriteString(w, "fetched")
 }
 
-// settingsWithCopies has second copies allowed, and the load of hosts reported.
+// settingsWithCopies allows a second copy of a push, and has hosts report their load.
 var settingsWithCopies = strings.NewReplacer(`"cancelling":true`, `"cancelling":true,"mayDuplicate":true`,
 	`"groupSize"`, `"report":{"how":"answers","fields":["busy","q"]},"groupSize"`).Replace(defaultSettings)
 
-// printNotesSorted prints what has been noted since the last time, in order of the alphabet and with all hosts under one name:
-// two pushes of an op are heard by two of them, in either order.
+// printNotesSorted prints the notes like printNotes, but sorted and with both hosts under one name, because
+// copies of a push reach hosts in either order.
 func (f *fleet) printNotesSorted() {
-	f.oneName()
+	f.mergeHostNames()
 	f.Sort()
 	f.printNotes()
 }
 
-// callAdmin makes an operator's call and returns the status and the body.
+// callAdmin sends a request to the admin address and returns the status and the body.
 func (f *fleet) callAdmin(method, path, body string) string {
-	ask, _ := http.NewRequest(method, "http://"+f.adminAddress+path, strings.NewReader(body))
-	ask.Close = true
-	answer, err := (&http.Client{Timeout: time.Second}).Do(ask)
+	request, _ := http.NewRequest(method, "http://"+f.adminAddress+path, strings.NewReader(body))
+	request.Close = true
+	response, err := (&http.Client{Timeout: time.Second}).Do(request)
 	if err != nil {
 		return "no answer: " + err.Error()
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(answer.Body)
-	return fmt.Sprint(answer.StatusCode, " ", strings.TrimSpace(string(text)))
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return fmt.Sprint(response.StatusCode, " ", strings.TrimSpace(string(text)))
 }
 
-// startLoad has clients send ops one after the other, on connections that they keep, until the returned function is called. That
-// prints whether many were served; what else comes, but for nacks, is printed as it comes.
+// startLoad has clients send ops one after another, on persistent connections, until the returned function is
+// called. That function prints whether more than 200 ops were served. Nacks are ignored; any other answer is
+// printed.
 func (f *fleet) startLoad(clients int) func() {
 	var served atomic.Int64
 	var stop atomic.Bool
@@ -313,7 +323,7 @@
 					more, _ := c.reader.ReadString('\n')
 					line += more
 				}
-				if strings.HasPrefix(line, "SERVER_ERROR busy ") { // safe to repeat: the next one does
+				if strings.HasPrefix(line, "SERVER_ERROR busy ") { // a nacked op may be repeated
 					continue
 				}
 				if line != fmt.Sprintf("VA 5 O%d-%d\r\nvalue\r\n", i, n) {
@@ -328,11 +338,11 @@
 	return func() {
 		stop.Store(true)
 		all.Wait()
-		fmt.Println("served some hundreds:", served.Load() > 200)
+		fmt.Println("served over 200 ops:", served.Load() > 200)
 	}
 }
 
-// longValue is a value of 4 MiB of which no two pieces are alike.
+// longValue is a value of 4 MiB without repeated parts.
 var longValue = func() string {
 	var b strings.Builder
 	for i := 0; b.Len() < 4<<20; i++ {
@@ -341,13 +351,13 @@
 	return b.String()[:4<<20]
 }()
 
-// readValue reads a value and tells whether it is whole and as it was. An op that is nacked is asked again, as a client would: on a busy
-// machine the stand-ins' own stalls look like hosts that hang.
-func (c *client) readValue(value, again string) bool {
+// readValue reads an answer and reports whether it is the whole value. If the op is nacked it is repeated with
+// the command again, up to 50 times, because a busy machine delays the test's hosts.
+func (c *client) readValue(value, retry string) bool {
 	head, _ := c.reader.ReadString('\n')
 	for n := 0; strings.HasPrefix(head, "SERVER_ERROR busy ") && n < 50; n++ {
 		time.Sleep(20 * time.Millisecond)
-		c.sendAndPrint(0, strings.Replace(again, " O", fmt.Sprintf(" O%d-", n), 1))
+		c.sendAndPrint(0, strings.Replace(retry, " O", fmt.Sprintf(" O%d-", n), 1))
 		head, _ = c.reader.ReadString('\n')
 	}
 	got := make([]byte, len(value)+2)
@@ -355,7 +365,7 @@
 	return strings.HasPrefix(head, fmt.Sprintf("VA %d O", len(value))) && string(got[:n]) == value+"\r\n"
 }
 
-// peakMemoryMB is how much memory the program has had at the most, in MB.
+// peakMemoryMB returns the peak resident memory of the process in MB.
 func (f *fleet) peakMemoryMB() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", f.process.Process.Pid))
 	kb := 0
@@ -365,12 +375,12 @@
 	return kb / 1024
 }
 
-// countPushes counts the pushes of an op that hosts have heard.
+// countPushes returns how many pushes of an op hosts have received.
 func (f *fleet) countPushes(id string) int {
 	return strings.Count(strings.Join(f.Notes(), "\n"), " O"+id+" ")
 }
 
-// replaceSetting is the usual settings with a part of them in place of another.
+// replaceSetting returns defaultSettings with one part replaced.
 func replaceSetting(old, now string) string {
 	if !strings.Contains(defaultSettings, old) {
 		panic(old)
@@ -378,11 +388,12 @@
 	return strings.Replace(defaultSettings, old, now, 1)
 }
 
-// whileStopped runs do while the program stands still, so that all that do brings about reaches it in one round.
+// whileStopped runs do while the process is stopped, so that the process sees all of its effects in one round of
+// its event loop.
 func (f *fleet) whileStopped(do func()) {
 	f.process.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(30 * time.Millisecond) // until it has stopped
+	time.Sleep(30 * time.Millisecond) // until the process has stopped
 	do()
-	time.Sleep(30 * time.Millisecond) // until the kernel has all of it
+	time.Sleep(30 * time.Millisecond) // until the kernel has queued everything
 	f.process.Process.Signal(syscall.SIGCONT)
 }
--- a/cmd/larchthread/handover_failures_test.go
+++ b/cmd/larchthread/handover_failures_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A process that is told to stop while it hands over, or while it is handed over to, ends in good order, and serves until then.
+// A process that is told to stop during a hand-over exits cleanly, whether it is the old or the new one, and
+// serves until then.
 func Example_stopAmidHandOver() {
 	f, remove := newHandoverFleet("amid")
 	defer remove()
@@ -16,13 +17,13 @@
 	f.start()
 	defer f.stop()
 	successor := f.dialHandover(1)
-	successor.receive() // it has begun
+	successor.receive() // the hand-over has begun
 	c := f.newClient()
 	c.sendAndPrint(0, "mg slow v O1 Pc=read,d=590\r\n")
 	f.awaitNote("a: mg slow v O1 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGTERM)
 	c.sendAndPrint(2, "")
-	fmt.Println("the old one:", f.process.Wait())
+	fmt.Println("the old process:", f.process.Wait())
 	successor.Close()
 
 	l := f.listenHandover()
@@ -34,15 +35,15 @@
 	handoverChannel{old}.receive()
 	f.process.Process.Signal(syscall.SIGTERM)
 	began := time.Now()
-	fmt.Println("the new one:", f.process.Wait(), "soon:", time.Since(began) < 2*time.Second)
+	fmt.Println("the new process:", f.process.Wait(), "soon:", time.Since(began) < 2*time.Second)
 	// Output:
 	// VA 5 O1
 	// value
-	// the old one: <nil>
-	// the new one: <nil> soon: true
+	// the old process: <nil>
+	// the new process: <nil> soon: true
 }
 
-// A process that is to take over and dies behind any of the messages, before its yes or after it, leaves the running one serving.
+// A successor that dies after any message of the hand-over leaves the old process serving.
 func Example_successorDiesAnywhere() {
 	f, remove := newHandoverFleet("anywhere")
 	defer remove()
@@ -90,7 +91,7 @@
 	// true 200 serving
 	// true 200 serving
 	// true 200 serving
-	// the old one ends: <nil>
+	// old process exited: <nil>
 	// VA 5 O1
 	// value
 }
--- a/cmd/larchthread/host_connections_test.go
+++ b/cmd/larchthread/host_connections_test.go
@@ -12,11 +12,12 @@
 	"larchthread/internal/standin"
 )
 
-// A push whose connection comes up once its client has gone, or too late for an answer in time, is not written, also where
-// pushes may not be called off: it has not been sent yet, so its op is nacked and not dead-lettered.
+// A push whose connection is established after its client disconnected, or too late for an answer, is not
+// written, even if pushes may not be cancelled. The op never ran, so it is nacked and not dead-lettered.
 func Example_lateConnection() {
 	for _, leave := range []bool{true, false} {
-		f, h := startSlowConnectFleet(strings.ReplaceAll(defaultSettings, `"tardyBenefit":0.5`, `"tardyBenefit":0`)) // an op is settled with its target
+		// Without tardyBenefit an op is settled at its target latency.
+		f, h := startSlowConnectFleet(strings.ReplaceAll(defaultSettings, `"tardyBenefit":0.5`, `"tardyBenefit":0`))
 		h.fillBacklog()
 		c := f.newClient()
 		c.sendAndPrint(0, "mg k v O1 Pc=once,d=2500\r\n")
@@ -35,8 +36,8 @@
 	// heard: []
 }
 
-// A repeat of a deduplicated op is not written once the time in which repeats are dropped may be over: its connection may have
-// come up late.
+// A repeat of a deduplicated op is not written if its connection is established after the deduplication window
+// may have ended.
 func Example_repeatBehindItsWindow() {
 	f, h := startSlowConnectFleet(defaultSettings)
 	defer f.stop()
@@ -51,13 +52,13 @@
 	fmt.Println(strings.Contains(line, " O1 "))
 	io.WriteString(first, "VA 5 O1\r\nvalue\r\n")
 	c.sendAndPrint(2, "")
-	time.Sleep(100 * time.Millisecond) // it rests, and is used again
+	time.Sleep(100 * time.Millisecond) // the connection becomes idle and is reused
 	c.sendAndPrint(0, "mg k v O2 Pc=put,d=2500\r\n")
 	line, _ = r.ReadString('\n')
 	fmt.Println(strings.Contains(line, " O2 "))
 	h.fillBacklog()
-	first.Close()                      // it may have run
-	time.Sleep(600 * time.Millisecond) // the window is over, and the repeat's connection has been turned down
+	first.Close()                      // the op may have run
+	time.Sleep(600 * time.Millisecond) // the window has ended, and the repeat's connection is not yet accepted
 	h.acceptAndPrint()
 	// Output:
 	// true
@@ -67,8 +68,8 @@
 	// heard: []
 }
 
-// A second answer to one push is not taken for the answer to the next: one that tells no id would have an at-most-once op sent
-// again, or nacked, while it runs. A read that may have been answered so is given up by its connection before anything else.
+// A second answer to one push is not taken for the answer to the next. Without an ID it would repeat or nack an
+// at-most-once op that still runs. A read that may be affected ends the connection first.
 func Example_secondAnswer() {
 	f := &fleet{}
 	l := standin.Anywhere()
@@ -85,7 +86,7 @@
 			}
 			words := strings.Fields(line)
 			f.Note("connection %d: %s", n, words[3])
-			if told > 0 && strings.HasSuffix(words[3], "1") { // the one before is told of once more, and this one is at work for a while
+			if told > 0 && strings.HasSuffix(words[3], "1") { // repeats the previous answer, then takes some time for this one
 				io.WriteString(c, "SERVER_ERROR busy\r\n")
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -104,7 +105,7 @@
 		c.sendAndPrint(0, first+"\n")
 		c.reader.ReadString('\n')
 		c.reader.ReadString('\n')
-		c.sendAndPrint(0, second) // at once
+		c.sendAndPrint(0, second) // without a pause
 		line, _ := c.reader.ReadString('\n')
 		fmt.Println(retryDelayPattern.ReplaceAllString(strings.TrimSpace(line), "busy .."))
 		time.Sleep(150 * time.Millisecond)
@@ -127,7 +128,8 @@
 	// bad-input 0
 }
 
-// A host that begins to drain while a connection to it comes up is not written to by it: that may be past any grace.
+// A push whose host starts draining while the connection is established is not written, because the host may
+// exit at any time.
 func Example_drainWhileConnecting() {
 	f, h := startSlowConnectFleet(defaultSettings)
 	defer f.stop()
@@ -144,7 +146,8 @@
 	// SERVER_ERROR busy ..
 }
 
-// An answer that comes before its push is written whole ends the connection: the next push would be taken for the rest.
+// An answer that arrives before its push is fully written ends the connection, because the next push would be
+// read as the rest of this one.
 func Example_answerBeforeTheEnd() {
 	f := &fleet{}
 	f.Host("a", miss)
@@ -165,7 +168,7 @@
 					continue
 				}
 				io.WriteString(c, "HTTP/1.1 503 busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-				time.Sleep(time.Second) // the rest stays unread
+				time.Sleep(time.Second) // leaves the rest unread
 			}
 		}
 	})
@@ -173,7 +176,7 @@
 	defer f.stop()
 	c := f.newClient()
 	c.sendAndPrint(1, fmt.Sprintf("ms w %d O1 Pc=put,d=500\r\n%s\r\n", len(longValue), longValue))
-	time.Sleep(300 * time.Millisecond) // the origin rests
+	time.Sleep(300 * time.Millisecond) // the origin is avoided for a while
 	c.sendAndPrint(2, "mg k v O2 Pc=read,d=500\r\n")
 	for _, n := range f.Notes() {
 		if strings.HasPrefix(n, "origin") {
@@ -188,7 +191,8 @@
 	// origin 2: GET /k
 }
 
-// A push whose connection breaks before its last byte is written never ran: its op is nacked, also where it must not run twice.
+// A push whose connection breaks before its last byte is written never ran, so even an at-most-once op is
+// nacked.
 func Example_brokenWhileWritten() {
 	f := &fleet{}
 	f.Host("a", miss)
--- a/cmd/larchthread/lists_test.go
+++ b/cmd/larchthread/lists_test.go
@@ -9,7 +9,7 @@
 	"larchthread/internal/standin"
 )
 
-// A watch goes on after each answer; a draining host gets nothing more; after a failure a new watch begins.
+// The watch continues after each answer and is restarted after a failure; a draining host gets no new op.
 func Example_watch() {
 	f := &fleet{}
 	f.Host("a", hit)
@@ -24,7 +24,7 @@
 	f.awaitNote("discovery: 3", 1)
 	c.sendAndPrint(2, "mg k v O3 Pc=read,d=500\r\n")
 	f.Changed <- "down"
-	f.awaitNote("discovery: 3", 3) // the new watch, and its second call
+	f.awaitNote("discovery: 3", 3) // the restarted watch and its second call
 	f.printNotes()
 	// Output:
 	// VA 5 O1
@@ -37,8 +37,8 @@
 	//   a: mg k v O3 Pc=read,d=..
 }
 
-// Clients that say nothing, or not all, are ended in time, with an error where something has come; so is one that keeps
-// its connection for nothing. They once stayed for as long as there were sockets.
+// Silent clients, clients with half a command and idle clients are disconnected in time, with an error if a
+// command has begun.
 func Example_silent() {
 	f := &fleet{}
 	f.Host("a", hit)
@@ -72,8 +72,8 @@
 	// idle 1
 }
 
-// SIGHUP has the configuration read anew: the watch moves, while hosts, ops and connections stay. One that can't be
-// read changes nothing. The program once ended on SIGHUP.
+// SIGHUP reloads the start file: the watch moves to the new address while hosts, ops and connections stay. An
+// unreadable file changes nothing.
 func Example_reload() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -90,7 +90,7 @@
 	c.sendAndPrint(0, "mg k v O2 Pc=read,d=500\r\n")
 	f.awaitNote("a: mg k v O2 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGHUP)
-	f.awaitNote("discovery, moved: 1", 2) // a first call and the one that waits
+	f.awaitNote("discovery, moved: 1", 2) // the first call and the pending one
 	c.sendAndPrint(2, "")
 	f.drainFirstHost()
 	f.awaitNote("a: connection closed", 1)
@@ -109,13 +109,13 @@
 	// peer-closed 2
 }
 
-// A watch whose call is never answered is begun again on a new connection.
+// A watch whose call is never answered is restarted on a new connection.
 func Example_deadWatch() {
 	f := &fleet{}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	f.awaitNote("discovery: 1", 2) // no answer comes to the calls that wait: the first of a new watch, and its second
+	f.awaitNote("discovery: 1", 2) // both calls of the restarted watch
 	c := f.newClient()
 	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
 	c.Close()
--- a/cmd/larchthread/long_test.go
+++ b/cmd/larchthread/long_test.go
@@ -15,8 +15,8 @@
 	"larchthread/internal/standin"
 )
 
-// Long values go through whole, from host and origin, to clients that read slowly, with far more of them open than memory
-// would hold; small ops are served meanwhile. One that breaks off in the middle ends the client's connection there.
+// Long values from host and origin reach slow readers whole while more of them are open than fit into memory,
+// and small ops are served meanwhile. A value that is cut off ends the client's connection.
 func Example_longReads() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":512}`}
 	f.Host("a", func(words []string) string {
@@ -28,7 +28,7 @@
 		case strings.HasPrefix(words[1], "big"):
 			time.Sleep(time.Duration(5+20*(len(words[1])%2)) * time.Millisecond)
 			return fmt.Sprintf("VA %d O{id}\r\n%s\r\n", len(longValue), longValue)
-		case words[1] == "odd": // just over what is read whole
+		case words[1] == "odd": // just above the size that is buffered whole
 			return fmt.Sprintf("VA %d O{id}\r\n%s\r\n", 65537, longValue[:65537])
 		}
 		return hit(words)
@@ -57,7 +57,8 @@
 	c.sendAndPrint(2, "mg hot v O4 Pc=read,d=500\r\n")
 	var whole atomic.Int32
 	var all sync.WaitGroup
-	for i, s := range slow { // side by side: one that has to wait for the others for over 2 s is idle, and for over 5 s takes nothing
+	// Concurrently: a client that waits for over 2 s is idle, and one that reads nothing for over 5 s is disconnected.
+	for i, s := range slow {
 		all.Go(func() {
 			if s.readValue(longValue, ask(i)) {
 				whole.Add(1)
@@ -65,8 +66,8 @@
 		})
 	}
 	all.Wait()
-	fmt.Println("slow ones whole:", whole.Load(), "within memory:", f.peakMemoryMB() < 64)
-	c = f.newClient() // the other may have been idle for too long
+	fmt.Println("slow clients whole:", whole.Load(), "within memory:", f.peakMemoryMB() < 64)
+	c = f.newClient() // the first connection may have been closed as idle
 	c.sendAndPrint(0, "mg cut v O5 Pc=read,d=500\r\n")
 	head, _ := c.reader.ReadString('\n')
 	rest, err := io.ReadAll(c.reader)
@@ -76,12 +77,12 @@
 	// from the origin: true
 	// VA 5 O4
 	// value
-	// slow ones whole: 60 within memory: true
+	// slow clients whole: 60 within memory: true
 	// VA 100000 O5 true true <nil>
 }
 
-// Long values are written whole, though together they are more than may be in memory at once; a client that stops in the
-// middle of one doesn't hold up the others for good, and one that is too long is refused at once.
+// Long writes arrive whole although they exceed memory together; a client that stalls halfway does not block the
+// others for good, and an oversized write is rejected at once.
 func Example_longWrites() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":512}`}
 	f.Host("a", hit)
@@ -90,7 +91,7 @@
 	defer f.stop()
 	var all sync.WaitGroup
 	halves := make([]*client, 3)
-	for i := range halves { // each has its room reserved
+	for i := range halves { // each reserves memory for its value
 		halves[i] = f.newClient()
 		halves[i].sendAndPrint(0, fmt.Sprintf("ms k 4194304 Ohalf%d Pc=put,d=900\r\n%s", i, longValue[:100000]))
 	}
@@ -100,7 +101,7 @@
 			c := f.newClient()
 			defer c.Close()
 			text := fmt.Sprintf("ms k %d O%d Pc=put,d=900\r\n%s\r\n", len(longValue), i, longValue)
-			for len(text) > 0 { // cut anywhere
+			for len(text) > 0 { // in pieces of varying size
 				n := min(len(text), 60007+1009*i)
 				c.sendAndPrint(0, text[:n])
 				text = text[n:]
@@ -130,7 +131,7 @@
 	// CLIENT_ERROR ms: length "4194305", want 0 to 4194304
 }
 
-// A long value that its host gives by and by is passed on whole, also far past its op's TTL: the host is still giving it.
+// A long value is passed on whole for as long as its host keeps sending, even past the op's TTL.
 func Example_longTrickle() {
 	f := &fleet{}
 	l := standin.Anywhere()
@@ -154,8 +155,8 @@
 	// whole: true
 }
 
-// A long value of which nothing comes any more, and one of which its client takes nothing, are ended after some seconds; both ops
-// are over then, and neither keeps the host from others.
+// A long value that its host stops sending, or its client stops reading, is ended after some seconds, and the
+// host stays available to other clients.
 func Example_longStuck() {
 	f := &fleet{adminAddress: freeAddress()}
 	f.Host("a", func(words []string) string {
@@ -174,18 +175,19 @@
 	half.sendAndPrint(1, "mg half v O1 Pc=read,d=500\r\n")
 	slow.sendAndPrint(1, "mg big v O2 Pc=read,d=500\r\n")
 	time.Sleep(100 * time.Millisecond)
-	figures := func() {
-		fmt.Println(regexp.MustCompile("(in_progress|bad_gateway.read):[0-9]+").FindAllString(f.callAdmin("GET", "/status/metrics", ""), -1))
+	printMetrics := func() {
+		fmt.Println(regexp.MustCompile("(in_progress|bad_gateway.read):[0-9]+").
+			FindAllString(f.callAdmin("GET", "/status/metrics", ""), -1))
 	}
-	figures()
+	printMetrics()
 	f.newClient().sendAndPrint(2, "mg k v O3 Pc=read,d=500\r\n")
 	began := time.Now()
 	got, _ := io.ReadAll(half.reader)
 	fmt.Println("half:", len(got), time.Since(began) > 4*time.Second, time.Since(began) < 8*time.Second)
 	time.Sleep(300 * time.Millisecond)
-	figures()
+	printMetrics()
 	got, _ = io.ReadAll(slow.reader)
-	fmt.Println("slow one whole:", len(got) >= len(longValue))
+	fmt.Println("slow client whole:", len(got) >= len(longValue))
 	f.stopAndPrintReasons("half-answer", "slow-reader", "push-timeout")
 	// Output:
 	// VA 100000 O1
@@ -195,7 +197,7 @@
 	// value
 	// half: 50000 true true
 	// [bad_gateway.read:1 in_progress:0]
-	// slow one whole: false
+	// slow client whole: false
 	// half-answer 1
 	// slow-reader 1
 	// push-timeout 1
--- a/cmd/larchthread/main.go
+++ b/cmd/larchthread/main.go
@@ -1,4 +1,5 @@
-// Command larchthread is the real balancer: the module's decisions on sockets.
+// Command larchthread runs the balancer on real sockets, and provides commands to check its files, test it and
+// measure it.
 package main
 
 import (
@@ -19,52 +20,52 @@
 )
 
 const (
-	heapShare = 0.75 // part of the memory at which the collector works harder
-	heapGrow  = 400  // per cent that the heap grows between two collections: it is small, and pauses cost time
+	memoryLimitFraction = 0.75 // fraction of limits.memory_mb at which the garbage collector runs more often
+	gcPercent           = 400  // heap growth in percent between collections; high because the live heap is small
 )
 
 func main() { os.Exit(execute(newRootCommand())) }
 
-// serve runs the balancer that the start file describes, until it is told to stop. own is the path of the operators' own file,
-// empty where there is none.
-func serve(path, own string) error {
-	// Before anything else: once it listens, or even before, a signal must not end what has been taken.
-	stop, anew := make(chan os.Signal, 1), make(chan os.Signal, 1)
+// serve runs the balancer described by the start file at path until it is told to stop or a successor takes
+// over. operatorPath is the path of the operator file, or empty for none.
+func serve(path, operatorPath string) error {
+	// Signals are handled before anything else, so that one that arrives early does not end the process.
+	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(anew, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more must not end the program
+	signal.Notify(reload, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
 	startFile, err := params.ReadStartFile(path)
 	if err != nil {
 		return err
 	}
-	var mine params.OperatorFile
-	if own != "" {
-		if mine, err = params.ReadOperatorFile(own); err != nil {
+	var operatorFile params.OperatorFile
+	if operatorPath != "" {
+		if operatorFile, err = params.ReadOperatorFile(operatorPath); err != nil {
 			return err
 		}
 	}
-	share := func(processes int) {
-		debug.SetMemoryLimit(int64(startFile.MemoryMB * heapShare * (1 << 20) / float64(processes)))
+	setMemoryLimit := func(processes int) {
+		debug.SetMemoryLimit(int64(startFile.MemoryMB * memoryLimitFraction * (1 << 20) / float64(processes)))
 	}
-	share(1)
-	debug.SetGCPercent(heapGrow)
-	sink := newAsyncLogWriter(os.Stderr)
-	defer sink.close()
-	log := slog.New(slog.NewTextHandler(sink, nil)).With("name", startFile.Name)
+	setMemoryLimit(1)
+	debug.SetGCPercent(gcPercent)
+	logWriter := newAsyncLogWriter(os.Stderr)
+	defer logWriter.close()
+	log := slog.New(slog.NewTextHandler(logWriter, nil)).With("name", startFile.Name)
 	loop, err := transport.NewLoop(startFile.Sockets, int(startFile.MemoryMB*(1<<20)), log)
 	if err != nil {
 		return err
 	}
-	router, err := routing.New(loop, log, startFile, mine.InventoryPath != "")
+	router, err := routing.New(loop, log, startFile, operatorFile.InventoryPath != "")
 	if err != nil {
 		return err
 	}
-	if mine.InventoryPath != "" {
-		if err := byHand(mine, router, log); err != nil {
+	if operatorFile.InventoryPath != "" {
+		if err := watchInventory(operatorFile, router, log); err != nil {
 			return err
 		}
 	}
-	upgrade, err := open(startFile, loop, log, router, share)
+	upgrade, err := listen(startFile, loop, log, router, setMemoryLimit)
 	if err != nil {
 		return err
 	}
@@ -73,7 +74,7 @@
 		router.Shutdown()
 	}()
 	go func() {
-		for range anew {
+		for range reload {
 			startFile, err := params.ReadStartFile(path)
 			if err != nil {
 				log.Error("configuration kept as it was", "error", err)
@@ -89,23 +90,23 @@
 	return upgrade.Close()
 }
 
-// open opens the doors. Without an operators' address there are no upgrades, and the clients' address is this process's
-// alone.
-func open(startFile *params.StartFile, loop *transport.Loop, log *slog.Logger, router *routing.Router, share func(int)) (
-	*takeover.Takeover, error) {
+// listen opens the listening sockets. Without an admin address the process cannot hand over, and it does not
+// share the client address.
+func listen(startFile *params.StartFile, loop *transport.Loop, log *slog.Logger, router *routing.Router,
+	setMemoryLimit func(int)) (*takeover.Takeover, error) {
 	if !startFile.Admin.IsValid() {
 		return nil, router.Listen(startFile.Listen, false)
 	}
 	if err := admin.Serve(loop, log, startFile.Admin, router); err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	return takeover.Start(loop, log, router, startFile.Listen, os.TempDir(), share)
+	return takeover.Start(loop, log, router, startFile.Listen, os.TempDir(), setMemoryLimit)
 }
 
-// byHand takes the list of hosts from the file that describes the fleet, now and whenever it changes. A file that can't be used
-// leaves the last list in force; at the start that is the one in the start file, if there is one.
-func byHand(mine params.OperatorFile, router *routing.Router, log *slog.Logger) error {
-	watcher, hosts, err := inventory.Begin(mine.InventoryPath)
+// watchInventory loads the host list from the inventory file and reloads it whenever the file changes. An
+// unusable file leaves the current list in place; at start it is an error unless the start file has a host list.
+func watchInventory(operatorFile params.OperatorFile, router *routing.Router, log *slog.Logger) error {
+	watcher, hosts, err := inventory.Begin(operatorFile.InventoryPath)
 	switch {
 	case err == nil:
 		router.SetInventory(hosts)
@@ -116,7 +117,7 @@
 	}
 	go func() {
 		for {
-			time.Sleep(mine.PollInterval)
+			time.Sleep(operatorFile.PollInterval)
 			switch hosts, err := watcher.Look(); {
 			case err != nil:
 				log.Error("inventory kept as it was", "error", err)
--- a/cmd/larchthread/main_test.go
+++ b/cmd/larchthread/main_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The tests start this binary again as the program itself, and speak to it over sockets.
+// TestMain runs this binary as larchthread, as a bare relay or as a set of cache hosts if the environment says
+// so. Tests start it that way and talk to it over sockets.
 func TestMain(m *testing.M) {
 	if os.Getenv("LARCHTHREAD_SERVE") != "" {
 		done := startProfiling()
@@ -25,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// Reads go to the cache host and, after a miss, to the origin; writes go to the origin. Bad commands are named.
+// Reads go to the cache host and, after a miss, to the origin; writes go to the origin. Invalid commands get a
+// specific error.
 func Example() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
--- a/cmd/larchthread/many_test.go
+++ b/cmd/larchthread/many_test.go
@@ -13,57 +13,57 @@
 )
 
 const (
-	manyClients = 1024
-	restsFor    = 500 * time.Millisecond
-	keptFor     = 1900 * time.Millisecond // an idle connection may be closed after 2 s
-	passes      = 5                       // on a machine so busy that a pass takes longer than that it tells nothing
+	manyClients  = 1024
+	restDuration = 500 * time.Millisecond
+	idleLimit    = 1900 * time.Millisecond // the process may close connections idle for 2 s
+	maxPasses    = 5                       // a pass that takes longer is inconclusive and is repeated
 )
 
-// Where `limits.sockets` has room for them, 1,024 clients keep their connections while all rest at once, and each is served on it again.
+// If limits.sockets permits, 1,024 idle clients keep their connections and are served on them again.
 func TestManyIdleClients(t *testing.T) {
 	f := &fleet{limits: `{"cores":1,"memory_mb":192,"sockets":8192}`}
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	for range passes {
+	for range maxPasses {
 		began := time.Now()
-		lost := f.restTogether(manyClients)
+		lost := f.countLostClients(manyClients)
 		took := time.Since(began)
 		switch {
 		case lost == 0:
-			if n := strings.Count(f.log.String(), "reason=surplus "); n > 0 && took < keptFor {
+			if n := strings.Count(f.log.String(), "reason=surplus "); n > 0 && took < idleLimit {
 				t.Errorf("%d connections closed as surplus", n)
 			}
 			return
-		case took < keptFor:
+		case took < idleLimit:
 			t.Fatalf("%d of %d clients were not served again on their connections, after %v", lost, manyClients, took)
 		}
-		t.Logf("a pass took %v: a connection may be closed by then", took)
+		t.Logf("a pass took %v and is inconclusive: idle connections may have been closed", took)
 	}
-	t.Fatalf("no pass of %d took less than %v", passes, keptFor)
+	t.Fatalf("no pass of %d took less than %v", maxPasses, idleLimit)
 }
 
-// restTogether has so many clients open a connection and be answered, rest, and be answered again. It returns how many were
-// not.
-func (f *fleet) restTogether(n int) (lost int) {
+// countLostClients has n clients open a connection, get an answer, rest, and get another. It returns the number
+// of answers that did not arrive.
+func (f *fleet) countLostClients(n int) (lost int) {
 	var all []*client
 	for range n {
 		c := f.newClient()
 		defer c.Close()
 		all = append(all, c)
 	}
-	lost += unheard(all, "first")
-	time.Sleep(restsFor)
-	return lost + unheard(all, "again")
+	lost += countUnanswered(all, "first")
+	time.Sleep(restDuration)
+	return lost + countUnanswered(all, "again")
 }
 
-// unheard sends an op on each connection, and returns how many have no answer. A nack is one: this is about connections.
-func unheard(all []*client, round string) (lost int) {
+// countUnanswered sends an op on each connection and returns how many got no answer. A nack is an answer here.
+func countUnanswered(all []*client, round string) (lost int) {
 	for i, c := range all {
 		fmt.Fprintf(c, "mg k%d v O%s-%d Pc=read,d=500\r\n", i, round, i)
 	}
 	for _, c := range all {
-		if !served(c.reader) {
+		if !readAnyAnswer(c.reader) {
 			lost++
 		}
 	}
@@ -71,13 +71,13 @@
 }
 
 const (
-	reachFor   = 30 * time.Second // until each host has been sent something; it takes a few seconds
-	askers     = 8                // clients that ask at once
-	keysAtOnce = 200              // each of a client's, between two looks at who was reached
+	reachTimeout = 30 * time.Second // limit on reaching every host; normally a few seconds
+	keyClients   = 8                // concurrent clients
+	keysPerRound = 200              // keys per client between two checks
 )
 
-// A balancer serves with 1,024 hosts in its start file, with 2,000 of a whole list that follows, and once one of them has
-// gone. Each host is some key's, though there are fewer sockets than hosts, and nothing more goes to the one that has gone.
+// A balancer routes to 1,024 hosts of its start file, then to 2,000 of a full list, and no longer to a host that
+// is removed. There are fewer sockets than hosts, and each host serves some key.
 func TestManyHosts(t *testing.T) {
 	const first, all = 1024, 2000
 	f := &fleet{adminAddress: freeAddress()}
@@ -93,21 +93,21 @@
 	f.Members = members[:first]
 	f.start()
 	defer f.stop()
-	f.reachAll(t, reached, first)
+	f.reachAllHosts(t, reached, first)
 
 	f.Changed <- standin.List(2, true, members...)
-	f.awaitHosts(t, all)
-	f.reachAll(t, reached, all)
+	f.awaitHostCount(t, all)
+	f.reachAllHosts(t, reached, all)
 
 	f.Changed <- standin.List(3, false, strings.Replace(members[7], standin.InService, standin.Terminated, 1))
-	f.awaitHosts(t, all-1)
-	f.reachAll(t, reached, all-1)
+	f.awaitHostCount(t, all-1)
+	f.reachAllHosts(t, reached, all-1)
 	if reached.has("cache7") {
-		t.Error("the host that has gone was sent something")
+		t.Error("the removed host received a command")
 	}
 }
 
-// hostSet is which hosts were sent something.
+// hostSet is the set of hosts that received a command.
 type hostSet struct {
 	mu    sync.Mutex
 	names map[string]bool
@@ -137,19 +137,19 @@
 	clear(s.names)
 }
 
-// reachAll asks for ever new keys until so many hosts have been sent something.
-func (f *fleet) reachAll(t *testing.T, reached *hostSet, hosts int) {
+// reachAllHosts requests new keys until the given number of hosts have received a command.
+func (f *fleet) reachAllHosts(t *testing.T, reached *hostSet, hosts int) {
 	t.Helper()
 	reached.clear()
 	began := time.Now()
 	keys := 0
-	for ; reached.count() < hosts; keys += askers * keysAtOnce {
-		if time.Since(began) > reachFor {
+	for ; reached.count() < hosts; keys += keyClients * keysPerRound {
+		if time.Since(began) > reachTimeout {
 			t.Fatalf("%d of %d hosts reached by %d keys", reached.count(), hosts, keys)
 		}
 		var all sync.WaitGroup
-		for i := range askers {
-			all.Go(func() { f.askKeys(t, keys+i*keysAtOnce) })
+		for i := range keyClients {
+			all.Go(func() { f.requestKeys(t, keys+i*keysPerRound) })
 		}
 		all.Wait()
 	}
@@ -159,21 +159,21 @@
 	t.Logf("%d hosts reached by %d keys in %v", hosts, keys, time.Since(began).Round(time.Millisecond))
 }
 
-// askKeys asks for keys from a number on, one after the other. A nack is as good as a value: it is the host that counts.
-func (f *fleet) askKeys(t *testing.T, from int) {
+// requestKeys requests a range of keys one after another. A nack is accepted as an answer.
+func (f *fleet) requestKeys(t *testing.T, from int) {
 	c := f.newClient()
 	defer c.Close()
-	for i := range keysAtOnce {
+	for i := range keysPerRound {
 		fmt.Fprintf(c, "mg key%d v O%d Pc=read,d=500\r\n", from+i, from+i)
-		if !served(c.reader) {
+		if !readAnyAnswer(c.reader) {
 			t.Errorf("key %d: no answer", from+i)
 			return
 		}
 	}
 }
 
-// served reads an answer and tells whether it was a value or a nack.
-func served(r *bufio.Reader) bool {
+// readAnyAnswer reads an answer and reports whether it was a value or a nack.
+func readAnyAnswer(r *bufio.Reader) bool {
 	line, err := r.ReadString('\n')
 	if strings.HasPrefix(line, "VA 5 ") {
 		line, err = r.ReadString('\n')
@@ -181,8 +181,8 @@
 	return err == nil && (line == "value\r\n" || strings.HasPrefix(line, "SERVER_ERROR busy "))
 }
 
-// awaitHosts waits until so many cache hosts are known.
-func (f *fleet) awaitHosts(t *testing.T, hosts int) {
+// awaitHostCount waits up to 5 s until the metrics give the number of known cache hosts.
+func (f *fleet) awaitHostCount(t *testing.T, hosts int) {
 	t.Helper()
 	want := fmt.Sprintf("known_cache_hosts:%d|", hosts)
 	for range 500 {
@@ -191,5 +191,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never %d hosts", hosts)
+	t.Fatalf("the metrics never gave %d known hosts", hosts)
 }
--- a/cmd/larchthread/operators_test.go
+++ b/cmd/larchthread/operators_test.go
@@ -15,8 +15,8 @@
 	"larchthread/internal/standin"
 )
 
-// Operators' calls are answered while callers that say nothing hold more connections than there are in reserve, and clients
-// flood the balancer. The figures tell what hosts and clients have seen, and a host taken out by hand gets nothing new.
+// Admin requests are answered while idle callers hold more connections than are reserved and a client floods the
+// process. Metrics count what clients and hosts saw, and a host in maintenance gets no new op.
 func Example_operators() {
 	f := &fleet{adminAddress: freeAddress()}
 	f.Host("a", func(words []string) string {
@@ -51,10 +51,11 @@
 		word, id, _ := strings.Cut(call, " ")
 		fmt.Println(call, f.callAdmin("POST", "/maintenance/"+word, id))
 	}
-	f.Changed <- standin.List(2, true, f.Members...) // whatever discovery says meanwhile
+	f.Changed <- standin.List(2, true, f.Members...) // the next list does not end maintenance
 	f.awaitNote("discovery: 2", 1)
-	c.sendAndPrint(2, "mg hot v O4 Pc=read,d=500\r\n") // the last host is out: from the origin
-	fmt.Println(regexp.MustCompile("(passed.read:3|skipped_cache_hosts:1)").FindAllString(f.callAdmin("GET", "/status/metrics", ""), -1))
+	c.sendAndPrint(2, "mg hot v O4 Pc=read,d=500\r\n") // no host is left, so the origin is asked
+	fmt.Println(regexp.MustCompile("(passed.read:3|skipped_cache_hosts:1)").
+		FindAllString(f.callAdmin("GET", "/status/metrics", ""), -1))
 	f.printNotes()
 	fmt.Println(f.callAdmin("POST", "/maintenance/exit", "a"))
 	c.sendAndPrint(2, "mg hot v O5 Pc=read,d=500\r\n")
@@ -102,7 +103,7 @@
 	//   a: mg hot v O5 Pc=read,d=..
 }
 
-// Many more operators' calls at once than the reserve has connections are all answered: those beyond it wait in the kernel's queue.
+// Admin requests beyond the reserved connections wait in the accept queue and are all answered.
 func TestManyOperatorCalls(t *testing.T) {
 	const calls = 200
 	f := &fleet{adminAddress: freeAddress()}
--- a/cmd/larchthread/process_test.go
+++ b/cmd/larchthread/process_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// After SIGTERM what was taken is answered, new connections are served for a while, and the program ends by itself.
+// After SIGTERM accepted ops are answered, new connections are served for a grace period, and the process exits.
 func Example_stop() {
 	f := &fleet{}
 	f.Host("a", hitWithSlowKey(100*time.Millisecond))
@@ -43,8 +43,8 @@
 	// stopping 3
 }
 
-// Clients that go on while the program stops lose nothing: new connections come for 400 ms and are served, and those
-// that are open are used without a pause for as long as they are. One may close between two commands.
+// No op is lost when the process stops under load: new connections are accepted for another 400 ms, and open
+// ones are closed only between two commands.
 func Example_stopUnderLoad() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -86,7 +86,7 @@
 					c = nil
 					continue
 				}
-				if fresh, n = false, n+1; n%3 == 0 && time.Since(began) < 400*time.Millisecond { // a front opens new ones now and then
+				if fresh, n = false, n+1; n%3 == 0 && time.Since(began) < 400*time.Millisecond { // clients open new connections now and then
 					c.Close()
 					c = nil
 				}
@@ -101,7 +101,7 @@
 	// <nil> 0 lost, soon: true
 }
 
-// After a stall of the process a command may have waited for as long: one whose time may be over is given up.
+// A command that may have waited past its time while the process was stalled is nacked.
 func Example_stall() {
 	f := &fleet{}
 	f.Host("a", hit)
@@ -110,7 +110,7 @@
 	c := f.newClient()
 	c.sendAndPrint(2, "mg k v O1 Pc=read,d=250\r\n")
 	f.process.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(30 * time.Millisecond) // until it has stopped
+	time.Sleep(30 * time.Millisecond) // until the process has stopped
 	c.sendAndPrint(0, "mg k v O2 Pc=read,d=250\r\n")
 	time.Sleep(300 * time.Millisecond)
 	f.process.Process.Signal(syscall.SIGCONT)
@@ -123,7 +123,7 @@
 	//   a: mg k v O1 Pc=read,d=..
 }
 
-// A log that nobody reads does not stop the program.
+// A log that nobody reads does not block the process.
 func Example_fullLog() {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -134,7 +134,7 @@
 	f.Host("a", hit)
 	f.start()
 	defer f.stop()
-	for range 1500 { // a line each: more than a pipe holds
+	for range 1500 { // more log lines than a pipe holds
 		f.newClient().Close()
 	}
 	f.newClient().sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
@@ -143,7 +143,7 @@
 	// value
 }
 
-// What is wrong with a start file is named.
+// Errors in a start file are reported with their keys.
 func Example_badStart() {
 	for _, text := range []string{`{`, `{"listen":"nowhere"}`, `{"listen":"127.0.0.1:1"}`,
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"xyz"}`,
--- a/cmd/larchthread/pushes_test.go
+++ b/cmd/larchthread/pushes_test.go
@@ -16,8 +16,8 @@
 	"larchthread/internal/standin"
 )
 
-// A host whose table of connections is full answers busy and closes the new one. It is left alone for a while, where it once
-// was asked for each key that is its own: at hundreds of balancers that was more than one push an op for nothing.
+// A host that refuses a connection because its table is full is not asked again for a while, so that such
+// refusals do not cost a push per op.
 func Example_tableFull() {
 	f := &fleet{}
 	f.Host("x", func([]string) string { return "SERVER_ERROR busy\r\ndrop" })
@@ -52,7 +52,7 @@
 	// table-full 1
 }
 
-// Commands in one write, or in pieces, are answered in their order, also where a later one is served first.
+// Commands in one write or in pieces are answered in order, even if a later one completes first.
 func Example_pipeline() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -71,7 +71,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	c.sendAndPrint(3, "cd\r\n")
-	io.WriteString(c, "mg slow v O5 Pc=read,d=500\r\n"+strings.Repeat("mn\r\n", 1000)) // more than stand in line
+	io.WriteString(c, "mg slow v O5 Pc=read,d=500\r\n"+strings.Repeat("mn\r\n", 1000)) // more than are queued for a connection
 	pongs := 0
 	for pongs < 1000 {
 		if line, err := c.reader.ReadString('\n'); err != nil {
@@ -93,7 +93,7 @@
 	// 1000 pongs
 }
 
-// An answer under another id, or of another kind, serves nobody: its connection ends, and the op walks on.
+// An answer with another ID ends its connection, and the op goes on to the next server.
 func Example_wrongAnswer() {
 	f := &fleet{}
 	first := true
@@ -120,8 +120,8 @@
 	// wrong-answer 1
 }
 
-// What may have run is told from what never ran: a host that breaks the connection behind an at-most-once op may
-// have run it, one that is gone has not, and one that turns it away has not.
+// An at-most-once op fails if it may have run, as when the host breaks the connection, and is nacked if it has
+// not, as when the host refuses it or cannot be reached.
 func Example_neverRan() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -139,12 +139,12 @@
 	defer f.stop()
 	gone := f.newClient()
 	gone.sendAndPrint(1, "mg busy v O1 Pc=once,d=500\r\n")
-	time.Sleep(50 * time.Millisecond) // its connection has rested, and is the only one
+	time.Sleep(50 * time.Millisecond) // its only connection is idle and reused
 	gone.sendAndPrint(1, "mg fail v O2 Pc=once,d=500\r\n")
-	time.Sleep(600 * time.Millisecond) // the host rests after a failure
+	time.Sleep(600 * time.Millisecond) // the host is avoided after a failure
 	gone.sendAndPrint(1, "mg break v O3 Pc=once,d=500\r\n")
 	time.Sleep(1200 * time.Millisecond)
-	f.Closers[0].Close() // what the host has open is gone with its last break, and nothing new comes up
+	f.Closers[0].Close() // the host's connection has ended, and no new one can be opened
 	gone.sendAndPrint(1, "mg k v O4 Pc=once,d=500\r\n")
 	f.printNotes()
 	// Output:
@@ -157,7 +157,7 @@
 	//   a: mg break v O3 Pc=once,d=..
 }
 
-// A push at a host that has fallen silent is called off by closing its connection, before the next goes out.
+// A push to a silent host is cancelled by closing its connection before the next push is sent.
 func Example_callOff() {
 	f := &fleet{}
 	var first atomic.Pointer[net.TCPConn]
@@ -168,11 +168,11 @@
 			return
 		}
 		f.Note("x: %s", strings.TrimSpace(line))
-		if first.CompareAndSwap(nil, c.(*net.TCPConn)) { // silent, and its end is left unread for the next to see
+		if first.CompareAndSwap(nil, c.(*net.TCPConn)) { // stays silent, and leaves the end of the connection unread
 			<-ended
 			return
 		}
-		f.Note("the first connection is closed: %t", endStandsUnread(first.Load()))
+		f.Note("the first connection is closed: %t", hasUnreadEOF(first.Load()))
 		io.WriteString(c, "VA 5 O1\r\nvalue\r\n")
 		<-ended
 	}
@@ -195,8 +195,8 @@
 	//   the first connection is closed: true
 }
 
-// endStandsUnread tells whether the end of a connection has come that nobody has read.
-func endStandsUnread(c *net.TCPConn) (ended bool) {
+// hasUnreadEOF reports whether the peer has closed the connection and the end has not been read.
+func hasUnreadEOF(c *net.TCPConn) (ended bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -209,7 +209,7 @@
 	return ended
 }
 
-// awaitClosed waits until a host has noted the end of a connection.
+// awaitClosed waits up to 5 s until a host has recorded the end of a connection.
 func (f *fleet) awaitClosed() {
 	for range 500 {
 		if slices.ContainsFunc(f.Notes(), func(note string) bool { return strings.HasSuffix(note, ": connection closed") }) {
@@ -220,9 +220,9 @@
 	fmt.Println("no connection was closed")
 }
 
-// copied starts a fleet of two cache hosts. The first push for each key gets what first says, the others a hit after a
-// while.
-func copied(first func(words []string) string) *fleet {
+// startWithCopies starts a fleet of two cache hosts that allow copies. The first push of each key is answered by
+// first, later ones with a hit after 50 ms.
+func startWithCopies(first func(words []string) string) *fleet {
 	f := &fleet{settings: settingsWithCopies}
 	var seen sync.Map
 	say := func(words []string) string {
@@ -238,11 +238,11 @@
 	return f
 }
 
-// Where second copies are allowed, a push that is out for long stays out while a copy goes to another host. The first whole
-// answer is the client's, the other is read off, and its connection used again; an op that must not run twice has no copy.
+// If copies are allowed, a slow push stays open while a copy goes to another host. The first valid answer is
+// passed on; the other is discarded and its connection reused. An at-most-once op is not copied.
 func Example_copies() {
 	for _, op := range []string{"both v O1 Pc=read", "hang v O2 Pc=read", "fails v O3 Pc=read", "once v O4 Pc=once"} {
-		f := copied(func(words []string) string {
+		f := startWithCopies(func(words []string) string {
 			switch words[1] {
 			case "fails":
 				time.Sleep(130 * time.Millisecond)
@@ -256,12 +256,12 @@
 		c := f.newClient()
 		c.sendAndPrint(1, "mg "+op+",d=350\r\n")
 		time.Sleep(200 * time.Millisecond)
-		if strings.HasPrefix(op, "hang") || strings.HasPrefix(op, "once") { // else a connection that is closed is one too many
+		if strings.HasPrefix(op, "hang") || strings.HasPrefix(op, "once") { // in the other cases no connection is closed
 			f.awaitClosed()
 		}
 		f.printNotesSorted()
 		if !strings.HasPrefix(op, "once") {
-			c.sendAndPrint(1, "") // the value; behind it comes no second answer
+			c.sendAndPrint(1, "") // the value, with no second answer behind it
 		}
 		c.sendAndPrint(2, "mg other v O9 Pc=read,d=590\r\n")
 		f.stop()
@@ -293,17 +293,17 @@
 	// value
 }
 
-// A client that leaves with two pushes out has both called off; at a planned end an op with two out is answered.
+// A client that disconnects has both copies cancelled; on shutdown an op with two copies is answered.
 func Example_copiesEnd() {
 	var seen atomic.Int32
-	f := copied(func([]string) string { seen.Add(1); return "" })
+	f := startWithCopies(func([]string) string { seen.Add(1); return "" })
 	defer f.stop()
 	gone := f.newClient()
 	io.WriteString(gone, "mg slow v O1 Pc=read,d=590\r\n")
 	for seen.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(115 * time.Millisecond) // the copy is out, and takes 50 ms
+	time.Sleep(115 * time.Millisecond) // the copy has been sent and takes 50 ms
 	gone.Close()
 	time.Sleep(100 * time.Millisecond)
 	f.printNotesSorted()
@@ -324,7 +324,7 @@
 	// ended in good order: true
 }
 
-// A load report that is garbage costs nothing but itself.
+// A malformed load report does not affect its answer.
 func Example_garbledReport() {
 	f := &fleet{settings: settingsWithCopies}
 	f.Host("a", miss)
@@ -353,7 +353,8 @@
 	// fetched
 }
 
-// Bytes behind an answer are not taken for the next op's: the connection ends, and the next op gets a new one.
+// Bytes behind an answer are not read as the next op's answer: the connection ends, and the next op uses a new
+// one.
 func Example_leftover() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -378,8 +379,8 @@
 	// wrong-answer 0
 }
 
-// A kept connection that ends under a push tells little of its host: the op goes there again, on a new one. The host was
-// once left out for it, which moved its keys.
+// An op whose reused connection breaks is sent to the same host again on a new connection, because a stale
+// connection does not mean that the host failed.
 func Example_stale() {
 	f := &fleet{}
 	n := 0
@@ -405,7 +406,7 @@
 	//   a: mg k v O2 Pc=read,d=..
 }
 
-// A host that falls silent gets a new connection: those that are idle from before may be dead without a word.
+// After a host has fallen silent a new connection is opened, because its idle ones may be dead.
 func Example_vanished() {
 	f := &fleet{}
 	f.Host("a", func(words []string) string {
@@ -422,7 +423,7 @@
 	c := f.newClient()
 	c.sendAndPrint(4, "mg slow v O1 Pc=read,d=500\r\nmg slow2 v O2 Pc=read,d=500\r\n")
 	c.sendAndPrint(1, "mg lost v O3 Pc=once,d=150\r\n")
-	time.Sleep(600 * time.Millisecond) // the host rests
+	time.Sleep(600 * time.Millisecond) // the host is avoided for a while
 	c.sendAndPrint(2, "mg k v O4 Pc=read,d=500\r\n")
 	c.Close()
 	f.stopAndPrintReasons("called-off", "host-silent")
--- a/cmd/larchthread/resource_limits_test.go
+++ b/cmd/larchthread/resource_limits_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// An op on a connection that would be ended in the same moment, for silence or to make room, is served.
+// An op on a connection that is about to be closed as silent or surplus is served.
 func Example_opAtTheEnd() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":512}`}
 	f.Host("a", hit)
@@ -22,7 +22,7 @@
 	}
 	time.Sleep(2300 * time.Millisecond)
 	f.whileStopped(func() {
-		time.Sleep(400 * time.Millisecond) // their time is over
+		time.Sleep(400 * time.Millisecond) // the connections are due to be closed
 		for _, c := range all {
 			c.sendAndPrint(0, strings.Repeat("mn\r\n", 200))
 		}
@@ -39,7 +39,7 @@
 	// 150 of 150
 }
 
-// Where connections are ended to make room, none is that an op has just come on.
+// A connection on which an op has just arrived is not closed to make room.
 func Example_opAsRoomIsMade() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
 	f.Host("a", hit)
@@ -72,8 +72,8 @@
 	// 12 of 12
 }
 
-// Idle clients that fill the descriptors while discovery is down, and come again when they are ended, keep neither the watch
-// from coming back nor known clients from being served.
+// Idle clients that use up the descriptors and reconnect while discovery is down do not keep the watch from
+// recovering or known clients from being served.
 func Example_descriptorsFull() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
 	f.Host("a", hit)
@@ -90,7 +90,7 @@
 					return
 				}
 				c.SetDeadline(time.Now().Add(time.Second))
-				io.ReadAll(c) // says nothing, and comes again once it is ended
+				io.ReadAll(c) // sends nothing, and reconnects once it is closed
 				c.Close()
 			}
 		})
@@ -122,7 +122,7 @@
 	// 100 served
 }
 
-// A flood that is there to be read in one round stays within the memory: what it would fill is let go of first.
+// A flood that is readable in one round stays within the memory limit.
 func Example_floodInOneRound() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":1024}`}
 	f.Host("a", hit)
@@ -133,10 +133,10 @@
 	for range 700 {
 		all = append(all, f.newClient())
 	}
-	f.newClient().sendAndPrint(1, "mn\r\n") // they are accepted
+	f.newClient().sendAndPrint(1, "mn\r\n") // the connections have been accepted
 	f.whileStopped(func() {
 		for _, c := range all {
-			c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) // as much as the kernel takes
+			c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) // as much as the kernel accepts
 			c.sendAndPrint(0, "ms k 65000 O1 Pc=put,d=500\r\n"+longValue[:64000])
 		}
 	})
@@ -148,7 +148,7 @@
 	// served: true within memory: true
 }
 
-// Room is made for new connections also while memory is full, and those that could make it have something unread.
+// New connections are accepted while memory is full and all open connections have unread data.
 func Example_roomWhileMemoryIsFull() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":1024}`}
 	f.Host("a", hit)
@@ -158,10 +158,10 @@
 	for range 800 {
 		all = append(all, f.newClient())
 	}
-	f.newClient().sendAndPrint(1, "mn\r\n") // they are accepted
+	f.newClient().sendAndPrint(1, "mn\r\n") // the connections have been accepted
 	f.whileStopped(func() {
 		for _, c := range all {
-			c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) // as much as the kernel takes
+			c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) // as much as the kernel accepts
 			c.sendAndPrint(0, "ms k 65000 O1 Pc=put,d=500\r\n"+longValue[:64000])
 		}
 		for range 200 {
@@ -176,9 +176,9 @@
 	// served: true
 }
 
-// Of many connections with nothing open none is ended that an op has just come on.
+// Of many idle connections none is closed on which an op has just arrived.
 func Example_opAsOneOfMany() {
-	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`} // sixteen may rest
+	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`} // permits 16 idle connections
 	f.Host("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
@@ -193,7 +193,7 @@
 	last.sendAndPrint(0, "mg slow v Olast Pc=once,d=590\r\n")
 	f.awaitNote("a: mg slow v Olast Pc=once,d=..", 1)
 	f.whileStopped(func() {
-		time.Sleep(120 * time.Millisecond) // it is answered, and one too many will rest
+		time.Sleep(120 * time.Millisecond) // the slow op is answered, and one idle connection too many remains
 		all[0].sendAndPrint(0, "mg k v Ofirst Pc=read,d=500\r\n")
 	})
 	last.sendAndPrint(2, "")
--- a/cmd/larchthread/scale.go
+++ b/cmd/larchthread/scale.go
@@ -14,15 +14,17 @@
 	"larchthread/internal/scale"
 )
 
-// decisionsMemory is the size of the heap beyond which the collector works harder while decisions are simulated.
+// decisionsMemory is the soft memory limit in bytes while routing decisions are simulated.
 const decisionsMemory = 6 << 30
 
-// scaleCommand measures what grows with the fleet (docs/CAPACITY.md).
+// scaleCommand returns the command that measures costs as the fleet grows (docs/CAPACITY.md).
 func scaleCommand() *cobra.Command {
 	asJSON := false
-	c := &cobra.Command{Use: "scale", Short: "Measure how costs grow with the size of the fleet (docs/CAPACITY.md)", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "scale",
+		Short: "Measure how costs grow with the size of the fleet (docs/CAPACITY.md)",
+		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return errors.New("want list, watch, decisions, connections, control or feed")
+			return errors.New("missing subcommand: list, watch, decisions, connections, control or feed")
 		}}
 	measurements := []*cobra.Command{scaleListCommand(&asJSON), scaleWatchCommand(&asJSON), scaleDecisionsCommand(&asJSON),
 		scaleConnectionsCommand(&asJSON), scaleControlCommand(&asJSON)}
@@ -34,9 +36,12 @@
 	return c
 }
 
+// scaleListCommand returns the command that measures host lists.
 func scaleListCommand(asJSON *bool) *cobra.Command {
 	hosts := []int{50, 200, 600, 1024}
-	c := &cobra.Command{Use: "list", Short: "Host lists: processor time, heap and bytes of reading one and taking a change", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "list",
+		Short: "Host lists: processor time, heap and bytes to read one and apply a change",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			result, err := scale.MeasureList(hosts)
 			if err != nil {
@@ -48,40 +53,46 @@
 	return c
 }
 
+// scaleDecisionsCommand returns the command that simulates routing decisions.
 func scaleDecisionsCommand(asJSON *bool) *cobra.Command {
-	balancers, hosts, atOnce := []int{1, 30, 300, 1700}, scale.TargetHosts, 4
-	only := []string{}
-	warmUp, measured := 3*time.Second, time.Second
-	c := &cobra.Command{Use: "decisions", Short: "Routing decisions: how evenly many balancers load one set of hosts", Args: cobra.NoArgs,
-		Long: "Play the decisions of many balancers over one set of hosts in simulated time, with the whole load held constant. All scenarios\n" +
-			"together take several minutes of processor time; --only and --balancers choose some.",
+	balancers, hosts, concurrent := []int{1, 30, 300, 1700}, scale.TargetHosts, 4
+	scenarios := []string{}
+	warmUp, duration := 3*time.Second, time.Second
+	c := &cobra.Command{Use: "decisions",
+		Short: "Routing decisions: how evenly many balancers load the same hosts",
+		Args:  cobra.NoArgs,
+		Long: "Simulate the decisions of many balancers for the same hosts, with a constant total load. All scenarios together\n" +
+			"take several minutes of processor time; --only and --balancers select some.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			debug.SetMemoryLimit(decisionsMemory)
-			all := scale.Scenarios(balancers, hosts, float64(warmUp.Milliseconds()), float64(measured.Milliseconds()))
-			if len(only) > 0 {
-				all = slices.DeleteFunc(all, func(s scale.Scenario) bool { return !slices.Contains(only, s.Name) })
+			all := scale.Scenarios(balancers, hosts, float64(warmUp.Milliseconds()), float64(duration.Milliseconds()))
+			if len(scenarios) > 0 {
+				all = slices.DeleteFunc(all, func(s scale.Scenario) bool { return !slices.Contains(scenarios, s.Name) })
 			}
-			result, err := scale.MeasureDecisions(all, atOnce)
+			result, err := scale.MeasureDecisions(all, concurrent)
 			if err != nil {
 				return err
 			}
 			return printResult(c.OutOrStdout(), result, *asJSON)
 		}}
-	c.Flags().IntSliceVar(&balancers, "balancers", balancers, "numbers of balancers; variants are played with the last")
+	c.Flags().IntSliceVar(&balancers, "balancers", balancers, "numbers of balancers; variants are simulated with the last")
 	c.Flags().IntVar(&hosts, "hosts", hosts, "cache hosts; the load of each stays the same")
-	c.Flags().IntVar(&atOnce, "at-once", atOnce, "scenarios played at once")
-	c.Flags().StringArrayVar(&only, "only", only, "only the scenario of this name; may be given several times")
+	c.Flags().IntVar(&concurrent, "at-once", concurrent, "scenarios simulated concurrently")
+	c.Flags().StringArrayVar(&scenarios, "only", scenarios, "run only the scenario of this name; repeatable")
 	c.Flags().DurationVar(&warmUp, "warm-up", warmUp, "simulated time before measuring")
-	c.Flags().DurationVar(&measured, "for", measured, "simulated time that is measured")
+	c.Flags().DurationVar(&duration, "for", duration, "measured simulated time")
 	return c
 }
 
+// scaleWatchCommand returns the command that measures the watch on discovery.
 func scaleWatchCommand(asJSON *bool) *cobra.Command {
 	balancers := []int{50, 200, 600, 1700}
 	config := scale.WatchConfig{Hosts: scale.TargetHosts, Idle: 4 * time.Second, Absence: 3 * time.Second}
-	c := &cobra.Command{Use: "watch", Short: "The watch on discovery: many hollow balancers, one real one beside them", Args: cobra.NoArgs,
-		Long: "Run the real loop, router and watch of many balancers without clients in this process, on loopback sockets, and one real\n" +
-			"process beside them. Takes about a minute.",
+	c := &cobra.Command{Use: "watch",
+		Short: "Discovery watch: many balancers without clients and one real process",
+		Args:  cobra.NoArgs,
+		Long: "Run the event loop, router and watch of many balancers without clients in this process, on loopback sockets,\n" +
+			"and one real balancer process. Takes about a minute.",
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if config.Program, err = os.Executable(); err != nil {
 				return err
@@ -93,15 +104,18 @@
 			return printResult(c.OutOrStdout(), result, *asJSON)
 		}}
 	c.Flags().IntSliceVar(&balancers, "balancers", balancers, "numbers of balancers")
-	c.Flags().IntVar(&config.Hosts, "hosts", config.Hosts, "cache hosts on the list")
-	c.Flags().DurationVar(&config.Idle, "idle", config.Idle, "how long the idle watch is measured")
-	c.Flags().DurationVar(&config.Absence, "absence", config.Absence, "how long discovery is away")
+	c.Flags().IntVar(&config.Hosts, "hosts", config.Hosts, "cache hosts in the list")
+	c.Flags().DurationVar(&config.Idle, "idle", config.Idle, "duration of the measurement of the idle watch")
+	c.Flags().DurationVar(&config.Absence, "absence", config.Absence, "duration of the outage of discovery")
 	return c
 }
 
+// scaleConnectionsCommand returns the command that measures the connections of one process.
 func scaleConnectionsCommand(asJSON *bool) *cobra.Command {
 	config := scale.ConnectionsConfig{Hosts: scale.TargetHosts}
-	c := &cobra.Command{Use: "connections", Short: "Descriptors, memory and processor time of one real balancer's connections", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "connections",
+		Short: "Connections: descriptors, memory and processor time of one balancer process",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if config.Program, err = os.Executable(); err != nil {
 				return err
@@ -116,13 +130,16 @@
 	return c
 }
 
+// scaleControlCommand returns the command that compares designs of the change feed.
 func scaleControlCommand(asJSON *bool) *cobra.Command {
 	balancers := scale.TargetBalancers
-	c := &cobra.Command{Use: "control", Short: "Ways to carry settings and purges to all balancers, reckoned", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "control",
+		Short: "Change feed: calculated costs of ways to send settings and purges to all balancers",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return printResult(c.OutOrStdout(), scale.CompareControl(balancers), *asJSON)
 		}}
-	c.Flags().IntVar(&balancers, "balancers", balancers, "how many there are")
+	c.Flags().IntVar(&balancers, "balancers", balancers, "number of balancers")
 	return c
 }
 
--- a/cmd/larchthread/shutdown_test.go
+++ b/cmd/larchthread/shutdown_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// A signal that comes before the program has read its start file is heeded once it serves. It once ended the program.
+// A signal that arrives before the start file is read is handled once the process serves.
 func Example_signalWhileStarting() {
 	f := &fleet{}
 	f.Host("a", hit)
@@ -26,7 +26,7 @@
 			panic(err)
 		}
 		f.process = f.startProcess()
-		start, err := os.OpenFile(f.configPath, os.O_WRONLY, 0) // returns once the program has it open to read
+		start, err := os.OpenFile(f.configPath, os.O_WRONLY, 0) // blocks until the process has opened it for reading
 		if err != nil {
 			panic(err)
 		}
@@ -39,7 +39,7 @@
 		if s == syscall.SIGHUP {
 			waitForListener(f.listenAddress)
 			f.newClient().sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
-			fmt.Println("read anew:", strings.Contains(f.log.String(), "configuration read anew"))
+			fmt.Println("reloaded the file:", strings.Contains(f.log.String(), "configuration read anew"))
 			f.process.Process.Kill()
 		}
 		fmt.Println(f.process.Wait())
@@ -47,12 +47,12 @@
 	// Output:
 	// VA 5 O1
 	// value
-	// read anew: true
+	// reloaded the file: true
 	// signal: killed
 	// <nil>
 }
 
-// An answer that is given while the program stops is whole, also for a client that reads it late.
+// Answers given while the process stops are complete, even for a client that reads late.
 func Example_stopBeforeLateReader() {
 	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	value := strings.Repeat("x", 65000)
@@ -66,7 +66,7 @@
 	for i := range 4 {
 		c := f.newClient()
 		c.Conn.(*net.TCPConn).SetReadBuffer(1 << 15)
-		for j := range 4 { // more than the kernel holds
+		for j := range 4 { // more than the kernel buffers
 			c.sendAndPrint(0, fmt.Sprintf("mg k%d v O%d-%d Pc=once,d=2500\r\n", i, i, j))
 		}
 		all = append(all, c)
@@ -92,8 +92,8 @@
 	// 16 whole, <nil>
 }
 
-// An op that comes so late behind the word to stop that the end may be forced before it is settled is nacked at once, and not
-// sent on; what came before is answered first.
+// An op that arrives too late in the shutdown to be settled is nacked and not sent, after earlier ops are
+// answered.
 func Example_opBehindTheStop() {
 	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	f.Host("a", func(words []string) string {
@@ -120,8 +120,8 @@
 	// <nil> sent on: 0
 }
 
-// Half a command that stood there as the program was told to stop is taken once it is whole, and answered: with a nack where it
-// comes too late to be sent on.
+// A partial command at the time of SIGTERM is accepted once it is complete, and nacked if it is too late to be
+// sent.
 func Example_halfAtTheStop() {
 	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	f.Host("a", hit)
@@ -150,7 +150,7 @@
 	// <nil> sent on: 1 0
 }
 
-// A second word to stop, and one to read the configuration anew, change nothing of how the program ends.
+// Further signals during a shutdown do not change how the process exits.
 func Example_signalsWhileStopping() {
 	f := &fleet{}
 	f.Host("a", hitWithSlowKey(100*time.Millisecond))
--- a/cmd/larchthread/sink.go
+++ b/cmd/larchthread/sink.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	sinkLines = 1024                   // lines that wait for a slow reader of the log; more are dropped and counted
-	sinkWait  = 100 * time.Millisecond // for the last lines at the end
+	logQueueLines   = 1024                   // queued lines before further ones are dropped and counted
+	logFlushTimeout = 100 * time.Millisecond // limit on flushing the last lines
 )
 
-// asyncLogWriter passes log lines on from a goroutine of its own: a log that nobody reads must not stop the loop.
+// asyncLogWriter writes log lines from its own goroutine, so that a blocked log reader does not stop the event
+// loop. Lines beyond its queue are dropped, and their number is logged.
 type asyncLogWriter struct {
 	lines   chan []byte
 	done    chan struct{}
 	dropped atomic.Int64
 }
 
+// newAsyncLogWriter starts an asyncLogWriter for w.
 func newAsyncLogWriter(w io.Writer) *asyncLogWriter {
-	s := &asyncLogWriter{lines: make(chan []byte, sinkLines), done: make(chan struct{})}
+	s := &asyncLogWriter{lines: make(chan []byte, logQueueLines), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for line := range s.lines {
@@ -33,7 +35,7 @@
 	return s
 }
 
-// Write never waits.
+// Write queues a copy of p, or drops it if the queue is full. It neither blocks nor fails.
 func (s *asyncLogWriter) Write(p []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), p...):
@@ -43,11 +45,11 @@
 	return len(p), nil
 }
 
-// close passes on what is left, as far as the reader takes it soon.
+// close flushes queued lines, waiting at most logFlushTimeout.
 func (s *asyncLogWriter) close() {
 	close(s.lines)
 	select {
 	case <-s.done:
-	case <-time.After(sinkWait):
+	case <-time.After(logFlushTimeout):
 	}
 }
--- a/cmd/larchthread/trial.go
+++ b/cmd/larchthread/trial.go
@@ -16,8 +16,8 @@
 	"larchthread/internal/trial"
 )
 
-// firstRun is the plan of try: a balancer is killed and a host is taken out.
-const firstRun = `
+// demoPlan is the plan of the try command: it kills a balancer and removes a host.
+const demoPlan = `
 name: a first run
 fleet: {balancers: 3, hosts: 6, zones: 2}
 load: {for: 20s, rate: 400}
@@ -26,74 +26,80 @@
 - {at: 11s, for: 5s, what: remove, of: [h3]}
 `
 
-// trials are the settings of the commands that play plans.
-type trials struct {
-	drawn    int
-	seed     uint64
-	json     bool
-	report   string
-	shrink   bool
-	quiet    bool
-	program  string
-	ofServer []string // environment of the balancers, for tests
+// trialRunner holds the flags of the commands that run trial plans.
+type trialRunner struct {
+	drawCount  int
+	seed       uint64
+	json       bool
+	reportPath string
+	shrink     bool
+	quiet      bool
+	program    string
+	serverEnv  []string // additional environment of the balancers
 }
 
-func (t *trials) flags(c *cobra.Command) {
-	c.Flags().BoolVar(&t.json, "json", false, "print results as JSON, one a line")
-	c.Flags().StringVar(&t.report, "report", t.report, "write the report with plots to this file")
-	c.Flags().BoolVar(&t.quiet, "quiet", false, "no word on the way")
-	c.Flags().StringVar(&t.program, "program", "", "try this build in place of the one that is called")
+// addFlags adds the flags common to trial and try.
+func (t *trialRunner) addFlags(c *cobra.Command) {
+	c.Flags().BoolVar(&t.json, "json", false, "print results as JSON, one per line")
+	c.Flags().StringVar(&t.reportPath, "report", t.reportPath, "write the report with plots to this file")
+	c.Flags().BoolVar(&t.quiet, "quiet", false, "print no progress")
+	c.Flags().StringVar(&t.program, "program", "", "binary to test instead of this one")
 }
 
+// trialCommand returns the command that runs trial plans.
 func trialCommand() *cobra.Command {
-	t := &trials{}
-	c := &cobra.Command{Use: "trial [PLAN.yaml...]", Short: "Start a fleet here, inject the faults of a plan, and check the rules (docs/trial.md)",
-		Long: "Start balancers beside simulated cache hosts on loopback, send them ops, inject the faults of a plan, and check the rules from\n" +
-			"what clients and hosts saw. The exit code is 1 where a rule was broken.\n\nFaults that a plan may name, and what they apply to:\n\n" +
+	t := &trialRunner{}
+	c := &cobra.Command{Use: "trial [PLAN.yaml...]",
+		Short: "Run a fleet on this machine, inject the faults of a plan, and check the rules (docs/trial.md)",
+		Long: "Start balancers and simulated cache hosts on loopback, send ops, inject the faults of a plan, and check the rules\n" +
+			"against what clients and hosts saw. The exit code is 1 if a rule was broken.\n\nFaults and the parts they apply to:\n\n" +
 			trial.Kinds(),
 		Example: "  larchthread trial plan.yaml --report report.html\n  larchthread trial --draw 20 --seed 1 --shrink",
 		RunE: func(c *cobra.Command, files []string) error {
-			plans, err := t.plans(files)
+			plans, err := t.loadPlans(files)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), err)
 				return exitError(exitUsage)
 			}
-			return t.play(c, plans)
+			return t.runPlans(c, plans)
 		}}
-	t.flags(c)
-	c.Flags().IntVar(&t.drawn, "draw", 0, "draw so many plans")
-	c.Flags().Uint64Var(&t.seed, "seed", 1, "of the first drawn plan; the next ones count up")
-	c.Flags().BoolVar(&t.shrink, "shrink", false, "look for the least plan that fails the same way")
+	t.addFlags(c)
+	c.Flags().IntVar(&t.drawCount, "draw", 0, "number of plans to draw at random")
+	c.Flags().Uint64Var(&t.seed, "seed", 1, "seed of the first drawn plan; each next plan adds 1")
+	c.Flags().BoolVar(&t.shrink, "shrink", false, "search for a minimal plan that breaks the same rules")
 	return c
 }
 
+// tryCommand returns the command that runs demoPlan.
 func tryCommand() *cobra.Command {
-	t := &trials{report: "larchthread-try.html"}
-	c := &cobra.Command{Use: "try", Short: "See it at work for 20 s: three balancers, one is killed, a host is taken out", Args: cobra.NoArgs,
+	t := &trialRunner{reportPath: "larchthread-try.html"}
+	c := &cobra.Command{Use: "try",
+		Short:   "Run a demo of 20 s: three balancers, one is killed, a host is removed",
+		Args:    cobra.NoArgs,
 		Example: "  go run ./cmd/larchthread try",
 		RunE: func(c *cobra.Command, _ []string) error {
-			p, err := trial.Read([]byte(firstRun))
+			p, err := trial.Read([]byte(demoPlan))
 			if err != nil {
 				return err
 			}
-			return t.play(c, []trial.Plan{p})
+			return t.runPlans(c, []trial.Plan{p})
 		}}
-	t.flags(c)
+	t.addFlags(c)
 	return c
 }
 
-// plans are those of the files, or drawn ones.
-func (t *trials) plans(files []string) (all []trial.Plan, err error) {
+// loadPlans returns the plans in the files, or randomly drawn plans if --draw is given.
+func (t *trialRunner) loadPlans(files []string) (plans []trial.Plan, err error) {
 	switch {
-	case t.drawn < 0 || t.drawn > 10000:
-		return nil, fmt.Errorf("--draw %d: want 1 to 10000", t.drawn)
-	case len(files) > 0 && t.drawn > 0:
+	case t.drawCount < 0 || t.drawCount > 10000:
+		return nil, fmt.Errorf("--draw %d: want 1 to 10000", t.drawCount)
+	case len(files) > 0 && t.drawCount > 0:
 		return nil, errors.New("want plans by file or by --draw, not both")
-	case len(files)+t.drawn == 0:
+	case len(files)+t.drawCount == 0:
 		return nil, errors.New("no plan: name a file, or draw some with --draw")
 	}
-	for i := range t.drawn {
-		all = append(all, trial.Draw(t.seed+uint64(i)))
+	for i := range t.drawCount {
+		plans = append(plans, trial.Draw(t.seed+uint64(i)))
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
@@ -104,13 +110,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", f, err)
 		}
-		all = append(all, p)
+		plans = append(plans, p)
 	}
-	return all, nil
+	return plans, nil
 }
 
-// play plays plans one after another. An interrupt ends what was started, and then the program.
-func (t *trials) play(c *cobra.Command, plans []trial.Plan) error {
+// runPlans runs plans one after another, stopping at the first that cannot be run. Broken rules are reported at
+// the end as exitFailure. SIGINT and SIGTERM stop the started processes.
+func (t *trialRunner) runPlans(c *cobra.Command, plans []trial.Plan) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	program := t.program
@@ -121,24 +128,24 @@
 		}
 		program = self
 	}
-	say := func(form string, a ...any) {
+	progress := func(format string, args ...any) {
 		if !t.quiet {
-			fmt.Fprintf(c.ErrOrStderr(), form, a...)
+			fmt.Fprintf(c.ErrOrStderr(), format, args...)
 		}
 	}
 	run := func(ctx context.Context, p trial.Plan) (*trial.Result, error) {
-		cluster := &trial.Cluster{Program: program, Args: []string{"serve"}, Env: t.ofServer, Say: say}
+		cluster := &trial.Cluster{Program: program, Args: []string{"serve"}, Env: t.serverEnv, Say: progress}
 		return cluster.Run(ctx, p)
 	}
 	failed := 0
 	for i, p := range plans {
-		say("%s (%d of %d)\n", p.Name, i+1, len(plans))
+		progress("%s (%d of %d)\n", p.Name, i+1, len(plans))
 		r, err := run(ctx, p)
 		if err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
 			return exitError(exitFailure)
 		}
-		if err := t.tell(c.OutOrStdout(), r, len(plans) > 1); err != nil {
+		if err := t.writeResult(c.OutOrStdout(), r, len(plans) > 1); err != nil {
 			fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
 			return exitError(exitFailure)
 		}
@@ -146,12 +153,12 @@
 			continue
 		}
 		if failed++; t.shrink {
-			least, err := trial.Shrink(ctx, p, r.Rules(), run)
+			smallest, err := trial.Shrink(ctx, p, r.Rules(), run)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
 				return exitError(exitFailure)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "the least plan that breaks it too:\n%s", least)
+			fmt.Fprintf(c.OutOrStdout(), "the least plan that breaks it too:\n%s", smallest)
 		}
 	}
 	if failed > 0 {
@@ -161,8 +168,9 @@
 	return nil
 }
 
-// tell prints a result, short where there are many, and writes its report.
-func (t *trials) tell(w io.Writer, r *trial.Result, short bool) error {
+// writeResult prints a result to w, in one line if short is set and no rule was broken, and writes its report
+// file if one was requested.
+func (t *trialRunner) writeResult(w io.Writer, r *trial.Result, short bool) error {
 	switch {
 	case t.json:
 		if err := json.NewEncoder(w).Encode(r); err != nil {
@@ -176,10 +184,10 @@
 			fmt.Fprintf(w, "\nthe plan:\n%s", r.Plan)
 		}
 	}
-	if t.report == "" {
+	if t.reportPath == "" {
 		return nil
 	}
-	name := t.report
+	name := t.reportPath
 	if short {
 		name = strings.TrimSuffix(name, ".html") + "-" + strings.ReplaceAll(r.Name, " ", "-") + ".html"
 	}
--- a/cmd/larchthread/upgrade_test.go
+++ b/cmd/larchthread/upgrade_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Three upgrades in a row under load: no op fails, no connection breaks, also one that stands in the middle of a command; and
-// a host taken out by hand before the first stays out, though the list names it as ready.
+// Three upgrades in a row under load: no op fails and no connection breaks, including one in the middle of a
+// command, and a host in maintenance stays excluded although discovery lists it as in service.
 func Example_upgrade() {
 	f := &fleet{adminAddress: freeAddress()}
-	varied := func(words []string) string { // so that a stall of the test's is not taken for a host that hangs
+	varied := func(words []string) string { // varied, so that a stall of the test is not taken for a hanging host
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
 	}
@@ -25,7 +25,7 @@
 	defer f.stop()
 	fmt.Println(f.callAdmin("POST", "/maintenance/enter", "x"))
 	f.printNotes()
-	done := f.startLoad(12)
+	stopLoad := f.startLoad(12)
 	half := f.newClient()
 	half.sendAndPrint(0, "ms k 4 O1 Pc=put,d=900\r\nab")
 	for range 3 {
@@ -33,8 +33,8 @@
 	}
 	half.sendAndPrint(1, "cd\r\n")
 	time.Sleep(50 * time.Millisecond)
-	done()
-	fmt.Println("x heard of it:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
+	stopLoad()
+	fmt.Println("x received ops:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
 	f.Forget()
 	fmt.Println(f.callAdmin("POST", "/maintenance/exit", "x"))
 	c := f.newClient()
@@ -43,21 +43,21 @@
 		c.reader.ReadString('\n')
 		c.reader.ReadString('\n')
 	}
-	fmt.Println("x hears of it:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
+	fmt.Println("x receives ops:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
 	// Output:
 	// 200 done
-	// the old one ends: <nil>
-	// the old one ends: <nil>
-	// the old one ends: <nil>
+	// old process exited: <nil>
+	// old process exited: <nil>
+	// old process exited: <nil>
 	// HD O1 creceipt
-	// served some hundreds: true
-	// x heard of it: false
+	// served over 200 ops: true
+	// x received ops: false
 	// 200 done
-	// x hears of it: true
+	// x receives ops: true
 }
 
-// While two processes live, a word on maintenance to either binds both; a successor that dies leaves the old one as it was,
-// before its yes and after it; and where it can't be asked, the two share the address.
+// While two processes run, maintenance requests to either apply to both. A successor that dies leaves the old
+// process serving, and if the old process does not respond, both share the address.
 func Example_upgradeThatFails() {
 	f := &fleet{adminAddress: freeAddress()}
 	f.Host("x", hit)
@@ -77,9 +77,9 @@
 	f.process = old
 	c := f.newClient()
 	c.sendAndPrint(2, "mg k v O1 Pc=read,d=900\r\n")
-	f.upgradeAndPrint() // the next finds it all the same
+	f.upgradeAndPrint() // still finds the running process
 	c.sendAndPrint(2, "mg k v O2 Pc=read,d=900\r\n")
-	f.process.Process.Signal(syscall.SIGSTOP) // it answers nobody
+	f.process.Process.Signal(syscall.SIGSTOP) // does not answer the successor
 	third := f.startSuccessor()
 	c = f.newClient()
 	f.process.Process.Kill()
@@ -93,18 +93,19 @@
 	// true
 	// VA 5 O1
 	// value
-	// the old one ends: <nil>
+	// old process exited: <nil>
 	// VA 5 O2
 	// value
 	// VA 5 O3
 	// value
 }
 
-// Upgrades amid other troubles: a directory whose path is longer than a socket's may be, a socket left behind by a process that
-// was killed, an old process killed before it was told to go, a new configuration for both, and two successors at once.
-// Each ends in one balancer that serves.
+// Upgrades under difficult conditions: a socket path that is too long, a stale socket, an old process killed
+// before the hand-over completes, a configuration reload during the hand-over, and two successors at once. Each
+// leaves one process that serves.
 func Example_upgradeAmidTroubles() {
-	f := &fleet{adminAddress: freeAddress(), tempDir: filepath.Join(os.TempDir(), strings.Repeat("long", 30), fmt.Sprint(os.Getpid()))}
+	f := &fleet{adminAddress: freeAddress(),
+		tempDir: filepath.Join(os.TempDir(), strings.Repeat("long", 30), fmt.Sprint(os.Getpid()))}
 	os.MkdirAll(f.tempDir, 0o700)
 	defer os.RemoveAll(filepath.Dir(f.tempDir))
 	f.Host("a", hit)
@@ -112,17 +113,17 @@
 	f.start()
 	defer f.stop()
 	n := 0
-	serves := func(what string) {
+	checkServing := func(situation string) {
 		n++
-		fmt.Println(what)
+		fmt.Println(situation)
 		f.newClient().sendAndPrint(2, fmt.Sprintf("mg k v O%d Pc=read,d=900\r\n", n))
 	}
 	f.upgradeAndPrint()
-	serves("a long path")
+	checkServing("a long path")
 	f.process.Process.Kill()
 	f.process.Wait()
 	f.process = f.startSuccessor()
-	serves("a socket left behind")
+	checkServing("a stale socket")
 	second := f.startSuccessor()
 	for _, p := range []*exec.Cmd{f.process, second} {
 		p.Process.Signal(syscall.SIGHUP)
@@ -130,19 +131,19 @@
 	f.process.Process.Kill()
 	f.process.Wait()
 	f.process = second
-	serves("the old one killed, both told of a new configuration")
+	checkServing("old process killed, configuration reloaded by both")
 	var both [2]*exec.Cmd
-	var at [2]string
+	var adminAddresses [2]string
 	usual := f.configPath
 	for i := range both {
 		f.configPath, f.adminAddress = fmt.Sprint(usual, i), freeAddress()
 		defer os.Remove(f.configPath)
 		f.writeConfig(f.discoveryAddress)
-		both[i], at[i] = f.startProcess(), f.adminAddress
+		both[i], adminAddresses[i] = f.startProcess(), f.adminAddress
 	}
 	f.configPath = usual
 	for i := range both {
-		f.adminAddress = at[i]
+		f.adminAddress = adminAddresses[i]
 		for range 500 {
 			if f.callAdmin("GET", "/status", "") == "200 serving" {
 				break
@@ -153,35 +154,35 @@
 	}
 	last := both[0]
 	f.process.Process.Signal(syscall.SIGTERM)
-	fmt.Println("the old one ends:", f.process.Wait())
-	both[1].Process.Signal(syscall.SIGTERM) // whichever was last: the other has its place, or takes it back
-	fmt.Println("one of the two ends:", both[1].Wait())
-	f.process, f.adminAddress = last, at[0]
-	serves("two successors at once")
+	fmt.Println("old process exited:", f.process.Wait())
+	both[1].Process.Signal(syscall.SIGTERM) // if this one was last, the other has taken over or takes over again
+	fmt.Println("one successor exited:", both[1].Wait())
+	f.process, f.adminAddress = last, adminAddresses[0]
+	checkServing("two successors at once")
 	fmt.Println(f.callAdmin("GET", "/status", ""))
 	// Output:
-	// the old one ends: <nil>
+	// old process exited: <nil>
 	// a long path
 	// VA 5 O1
 	// value
-	// a socket left behind
+	// a stale socket
 	// VA 5 O2
 	// value
-	// the old one killed, both told of a new configuration
+	// old process killed, configuration reloaded by both
 	// VA 5 O3
 	// value
 	// 200 serving
 	// 200 serving
-	// the old one ends: <nil>
-	// one of the two ends: <nil>
+	// old process exited: <nil>
+	// one successor exited: <nil>
 	// two successors at once
 	// VA 5 O4
 	// value
 	// 200 serving
 }
 
-// A process of another version refuses, or is refused, without harm: the two share the address. One that hangs up in the middle
-// of handing over, or talks nonsense, is given up as well.
+// Processes of different versions refuse each other and share the address, as they do if one closes the channel
+// during the hand-over or sends invalid messages.
 func Example_upgradeAcrossVersions() {
 	f, remove := newHandoverFleet("across")
 	defer remove()
@@ -192,7 +193,8 @@
 	newer := f.dialHandover(2)
 	fmt.Println(newer.receive())
 	newer.Close()
-	for _, last := range []string{`{"word":"refused","version":2,"why":"another version"}`, `{"word":"list","list":{"revision":9,"members":[]}}`,
+	for _, last := range []string{`{"word":"refused","version":2,"why":"another version"}`,
+		`{"word":"list","list":{"revision":9,"members":[]}}`,
 		`{"word":"door"}`, `nonsense`} {
 		l := f.listenHandover()
 		go func() {
