--- a/cmd/larchthread/clients_test.go
+++ b/cmd/larchthread/clients_test.go
@@ -154,15 +154,15 @@
 		defer mu.Unlock()
 		return chance.IntN(n)
 	}
-	odd := []string{"", "drop", "VA 5 Oother\r\nwrong\r\n", "VA 9 O{id}\r\nsho", "VA x O{id}\r\n", "\r\n", "HD O{id} crec\r\n",
+	malformed := []string{"", "drop", "VA 5 Oother\r\nwrong\r\n", "VA 9 O{id}\r\nsho", "VA x O{id}\r\n", "\r\n", "HD O{id} crec\r\n",
 		"SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n", "CLIENT_ERROR what\r\n", "EN Oother\r\n", "\x00\x01\x02\r\n",
 		"VA 99999999999999999999 O{id}\r\n", strings.Repeat("z", 9000), "VA 2 O{id}\r\nokEN O{id}\r\n"}
 	for _, name := range []string{"a", "b", "c"} {
 		f.Host(name, func(words []string) string {
-			switch n := draw(3 * len(odd)); {
-			case n < len(odd):
-				return strings.ReplaceAll(odd[n], "VA 2 O{id}\r\nok", "VA 2 O{id}\r\n"+words[1])
-			case n < 2*len(odd):
+			switch n := draw(3 * len(malformed)); {
+			case n < len(malformed):
+				return strings.ReplaceAll(malformed[n], "VA 2 O{id}\r\nok", "VA 2 O{id}\r\n"+words[1])
+			case n < 2*len(malformed):
 				return miss(words)
 			}
 			return fmt.Sprintf("VA 2 O{id}\r\n%s\r\n", words[1])
@@ -293,9 +293,9 @@
 		io.WriteString(c, "ms k 65000 O1 Pc=put,d=500\r\n"+strings.Repeat("x", 64000))
 		half = append(half, c)
 	}
-	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
-	c.sendAndPrint(0, ask)
-	fmt.Println("served:", c.readValue("value", ask)) // the first attempts may be nacked while the other data is read
+	c, command := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
+	c.sendAndPrint(0, command)
+	fmt.Println("served:", c.readValue("value", command)) // the first attempts may be nacked while the other data is read
 	f.stop()
 	fmt.Println("closed some:", strings.Count(f.log.String(), "reason=half-sent") > 0, len(half))
 	// Output:
--- a/cmd/larchthread/commands_test.go
+++ b/cmd/larchthread/commands_test.go
@@ -132,8 +132,8 @@
 		return
 	}
 	defer os.RemoveAll(dir)
-	own, list := filepath.Join(dir, "own.yaml"), filepath.Join(dir, "fleet.csv")
-	f := &fleet{adminAddress: freeAddress(), args: []string{"serve", "--own", own}}
+	operatorPath, listPath := filepath.Join(dir, "own.yaml"), filepath.Join(dir, "fleet.csv")
+	f := &fleet{adminAddress: freeAddress(), args: []string{"serve", "--own", operatorPath}}
 	varied := func(words []string) string {
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
@@ -147,11 +147,11 @@
 	}
 	text := "id,address,zone,kind\n" + line(0, "box") + line(2, "origin") + line(1, "box")
 	replaceList := func(text string) { // atomic replacement
-		os.WriteFile(list+".new", []byte(text), 0o600)
-		os.Rename(list+".new", list)
+		os.WriteFile(listPath+".new", []byte(text), 0o600)
+		os.Rename(listPath+".new", listPath)
 	}
 	replaceList(text)
-	os.WriteFile(own, []byte("inventory: {file: fleet.csv, look_ms: 10}\n"), 0o600)
+	os.WriteFile(operatorPath, []byte("inventory: {file: fleet.csv, look_ms: 10}\n"), 0o600)
 	f.Members = nil // neither discovery nor the start file lists hosts
 	f.start()
 	defer f.stop()
@@ -175,7 +175,7 @@
 		if i%3 == 0 {
 			torn = "id,address\nnowhere"
 		}
-		os.WriteFile(list, []byte(torn), 0o600)
+		os.WriteFile(listPath, []byte(torn), 0o600)
 		if i%25 == 0 && hosts() != "known_cache_hosts:2" {
 			partial++
 		}
@@ -184,7 +184,7 @@
 	fmt.Println("partial lists:", partial)
 	replaceList(truncate(text))
 	time.Sleep(60 * time.Millisecond)
-	os.Remove(list)
+	os.Remove(listPath)
 	time.Sleep(60 * time.Millisecond)
 	fmt.Println(hosts(), strings.Count(f.log.String(), "inventory kept as it was") >= 2)
 	replaceList(strings.TrimSuffix(text, lastLine(text)))
@@ -192,8 +192,8 @@
 	time.Sleep(500 * time.Millisecond)
 	f.Forget()
 	time.Sleep(100 * time.Millisecond)
-	heard := strings.Join(f.Notes(), " ")
-	fmt.Println("a receives ops:", strings.Contains(heard, "a: mg"), "b receives ops:", strings.Contains(heard, "b: mg"))
+	notes := strings.Join(f.Notes(), " ")
+	fmt.Println("a receives ops:", strings.Contains(notes, "a: mg"), "b receives ops:", strings.Contains(notes, "b: mg"))
 	replaceList(text)
 	fmt.Println(awaitHosts("known_cache_hosts:2"))
 	stopLoad()
--- a/cmd/larchthread/control_config.go
+++ b/cmd/larchthread/control_config.go
@@ -202,7 +202,7 @@
 	for i, parent := range s.Parents {
 		check(!isAddress(parent), "control.parents[%d]: %q, want an IP address with a port", i, parent)
 	}
-	for _, number := range s.numericFields() {
+	for _, number := range s.numbers() {
 		check(*number.value < 0, "control.%s: %d, want 1 or more", number.key, *number.value)
 	}
 	if len(faults) > 0 {
@@ -215,7 +215,7 @@
 // rejected number is reset to its default before the next call.
 func (s controlSection) validateNumbers() []error {
 	var faults []error
-	for range s.numericFields() {
+	for range s.numbers() {
 		err := s.feedConfig().Validate()
 		if err == nil {
 			break
@@ -232,7 +232,7 @@
 // reset sets a number to its default. It returns false if the key is not that of a number or the number already
 // has its default.
 func (s *controlSection) reset(key string) bool {
-	for _, number := range s.numericFields() {
+	for _, number := range s.numbers() {
 		if number.key == key && *number.value != 0 {
 			*number.value = 0
 			return true
@@ -247,8 +247,8 @@
 	value *int
 }
 
-// numericFields returns all fields that must not be negative.
-func (s *controlSection) numericFields() []numericField {
+// numbers returns all fields that must not be negative.
+func (s *controlSection) numbers() []numericField {
 	return []numericField{
 		{"max_children", &s.MaxChildren}, {"child_bytes_per_second", &s.ChildBytesPerSecond},
 		{"child_burst_bytes", &s.ChildBurstBytes}, {"relay_bytes_per_second", &s.RelayBytesPerSecond},
--- a/cmd/larchthread/control_config_test.go
+++ b/cmd/larchthread/control_config_test.go
@@ -99,7 +99,7 @@
 	if len(full.Parents) == 0 {
 		t.Error("parents are not shown")
 	}
-	for _, number := range full.numericFields() {
+	for _, number := range full.numbers() {
 		if *number.value == 0 {
 			t.Errorf("%s is not shown", number.key)
 		}
--- a/cmd/larchthread/fleet_test.go
+++ b/cmd/larchthread/fleet_test.go
@@ -30,11 +30,11 @@
 	args             []string // command-line arguments
 	tempDir          string   // directory of the hand-over sockets; empty for the default
 	listenAddress    string
-	adminAddress     string // empty for none
-	configPath       string // path of the start file
-	log              logBuffer
-	limits           string
-	settings         string // settings JSON; empty for defaultSettings
+	adminAddress     string    // empty for none
+	configPath       string    // path of the start file
+	log              logBuffer // logs of all processes, unless logOutput is set
+	limits           string    // limits JSON of the start file; empty for a default
+	settings         string    // settings JSON; empty for defaultSettings
 	logOutput        io.Writer
 	servedOps        int // ops served in benchmarks
 }
@@ -45,12 +45,14 @@
 	text bytes.Buffer
 }
 
+// Write appends p to the logs.
 func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
+// String returns all that has been logged.
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/larchthread/handover_failures_test.go
+++ b/cmd/larchthread/handover_failures_test.go
@@ -55,11 +55,11 @@
 	for last := 0; ; last++ {
 		successor := f.dialHandover(1)
 		successor.SetDeadline(time.Now().Add(time.Second))
-		said := ""
+		message := ""
 		for range last {
-			said = successor.receive()
+			message = successor.receive()
 		}
-		ready := strings.Contains(said, `"door"`)
+		ready := strings.Contains(message, `"door"`)
 		if ready {
 			successor.send(`{"word":"ready"}`)
 			for !strings.Contains(f.log.String(), "handed over") {
--- a/cmd/larchthread/host_connections_test.go
+++ b/cmd/larchthread/host_connections_test.go
@@ -78,7 +78,7 @@
 	f.Serve(l, func(c net.Conn) {
 		n := conns.Add(1)
 		r := bufio.NewReader(c)
-		for told := 0; ; told++ {
+		for answered := 0; ; answered++ {
 			line, err := r.ReadString('\n')
 			if err != nil {
 				f.Note("connection %d closed", n)
@@ -86,7 +86,7 @@
 			}
 			words := strings.Fields(line)
 			f.Note("connection %d: %s", n, words[3])
-			if told > 0 && strings.HasSuffix(words[3], "1") { // repeats the previous answer, then takes some time for this one
+			if answered > 0 && strings.HasSuffix(words[3], "1") { // repeats the previous answer, then takes some time for this one
 				io.WriteString(c, "SERVER_ERROR busy\r\n")
 				time.Sleep(100 * time.Millisecond)
 			}
--- a/cmd/larchthread/late_host_test.go
+++ b/cmd/larchthread/late_host_test.go
@@ -65,13 +65,13 @@
 func (h *slowConnectHost) acceptAndPrint() {
 	h.Accept() // the connection from fillBacklog
 	h.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(3 * time.Second))
-	var heard []string
+	var received []string
 	if late, err := h.Accept(); err == nil {
 		late.SetReadDeadline(time.Now().Add(time.Second))
 		all, _ := io.ReadAll(late)
 		for line := range strings.Lines(string(all)) {
-			heard = append(heard, strings.TrimSpace(line))
+			received = append(received, strings.TrimSpace(line))
 		}
 	}
-	fmt.Println("heard:", heard)
+	fmt.Println("heard:", received)
 }
--- a/cmd/larchthread/long_test.go
+++ b/cmd/larchthread/long_test.go
@@ -46,10 +46,10 @@
 	c.sendAndPrint(0, far)
 	fmt.Println("from the origin:", c.readValue(longValue, far))
 	var slow []*client
-	ask := func(i int) string { return fmt.Sprintf("mg big%d v Oslow%d Pc=read,d=500\r\n", i, i) }
+	command := func(i int) string { return fmt.Sprintf("mg big%d v Oslow%d Pc=read,d=500\r\n", i, i) }
 	for i := range 60 {
 		s := f.newClient()
-		s.sendAndPrint(0, ask(i))
+		s.sendAndPrint(0, command(i))
 		slow = append(slow, s)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -60,7 +60,7 @@
 	// Concurrently: a client that waits for over 2 s is idle, and one that reads nothing for over 5 s is disconnected.
 	for i, s := range slow {
 		all.Go(func() {
-			if s.readValue(longValue, ask(i)) {
+			if s.readValue(longValue, command(i)) {
 				whole.Add(1)
 			}
 		})
--- a/cmd/larchthread/main.go
+++ b/cmd/larchthread/main.go
@@ -65,7 +65,7 @@
 			return err
 		}
 	}
-	upgrade, err := listen(startFile, loop, log, router, setMemoryLimit)
+	handover, err := listen(startFile, loop, log, router, setMemoryLimit)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	if err := loop.Run(); err != nil {
 		return err
 	}
-	return upgrade.Close()
+	return handover.Close()
 }
 
 // listen opens the listening sockets. Without an admin address the process cannot hand over, and it does not
--- a/cmd/larchthread/main_test.go
+++ b/cmd/larchthread/main_test.go
@@ -20,8 +20,8 @@
 		fmt.Fprintln(os.Stderr, runBareRelay(to[0], to[1:]))
 		os.Exit(1)
 	}
-	if told := os.Getenv("LARCHTHREAD_HOSTS"); told != "" {
-		serveHosts(told)
+	if hostsConfig := os.Getenv("LARCHTHREAD_HOSTS"); hostsConfig != "" {
+		serveHosts(hostsConfig)
 	}
 	os.Exit(m.Run())
 }
--- a/cmd/larchthread/pushes_test.go
+++ b/cmd/larchthread/pushes_test.go
@@ -225,15 +225,15 @@
 func startWithCopies(first func(words []string) string) *fleet {
 	f := &fleet{settings: settingsWithCopies}
 	var seen sync.Map
-	say := func(words []string) string {
+	answer := func(words []string) string {
 		if _, again := seen.LoadOrStore(words[1], true); !again {
 			return first(words)
 		}
 		time.Sleep(50 * time.Millisecond)
 		return hit(words)
 	}
-	f.Host("x", say)
-	f.Host("x2", say)
+	f.Host("x", answer)
+	f.Host("x2", answer)
 	f.start()
 	return f
 }
--- a/cmd/larchthread/resource_limits_test.go
+++ b/cmd/larchthread/resource_limits_test.go
@@ -103,9 +103,9 @@
 			default:
 			}
 		}
-		ask := fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i)
-		known.sendAndPrint(0, ask)
-		if known.readValue("value", ask) {
+		command := fmt.Sprintf("mg k v O%d Pc=read,d=500\r\n", i)
+		known.sendAndPrint(0, command)
+		if known.readValue("value", command) {
 			served++
 		}
 		time.Sleep(30 * time.Millisecond)
@@ -140,9 +140,9 @@
 			c.sendAndPrint(0, "ms k 65000 O1 Pc=put,d=500\r\n"+longValue[:64000])
 		}
 	})
-	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
-	c.sendAndPrint(0, ask)
-	fmt.Println("served:", c.readValue("value", ask), "within memory:", f.peakMemoryMB()-before < 10)
+	c, command := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
+	c.sendAndPrint(0, command)
+	fmt.Println("served:", c.readValue("value", command), "within memory:", f.peakMemoryMB()-before < 10)
 	// Output:
 	// MN
 	// served: true within memory: true
@@ -168,9 +168,9 @@
 			defer f.newClient().Close()
 		}
 	})
-	c, ask := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
-	c.sendAndPrint(0, ask)
-	fmt.Println("served:", c.readValue("value", ask))
+	c, command := f.newClient(), "mg k v O2 Pc=read,d=500\r\n"
+	c.sendAndPrint(0, command)
+	fmt.Println("served:", c.readValue("value", command))
 	// Output:
 	// MN
 	// served: true
