--- a/cmd/larchthread/client_leaves_test.go
+++ b/cmd/larchthread/client_leaves_test.go
@@ -19,7 +19,7 @@
 	var gone atomic.Int64
 	var late atomic.Int32
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} { // a silent host is given up for the next one
-		f.Host(name, func([]string) string {
+		f.AddHost(name, func([]string) string {
 			if at := gone.Load(); at > 0 && time.Since(time.UnixMilli(at)) > 100*time.Millisecond {
 				late.Add(1)
 			}
@@ -49,7 +49,7 @@
 // The op of a client that disconnected before its connection was accepted is not sent.
 func Example_leftBeforeAccept() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	other := f.newClient()
@@ -75,14 +75,14 @@
 // A client that disconnects during a long answer has the rest cancelled at its host.
 func Example_leftWhileAnswered() {
 	f := &fleet{}
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	f.Serve(l, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		r.ReadString('\n')
 		io.WriteString(c, "VA 100000 O1\r\n"+longValue[:70000])
 		r.ReadString('\n')
-		f.Note("closed")
+		f.Notef("closed")
 	})
 	f.start()
 	defer f.stop()
@@ -101,7 +101,7 @@
 // complete.
 func Example_opBehindTheHalfClose() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -119,9 +119,9 @@
 // A long write whose client disconnects is broken off, so that no partial write takes effect.
 func Example_leftWhileWritten() {
 	f := &fleet{}
-	f.Host("a", miss)
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	begun, read := make(chan bool), make(chan bool)
 	whole := make(chan bool)
 	f.Serve(l, func(c net.Conn) {
--- a/cmd/larchthread/clients_test.go
+++ b/cmd/larchthread/clients_test.go
@@ -16,7 +16,7 @@
 // At the connection limit the connections idle for longest are closed and new clients are served.
 func Example_sockets() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	answered := 0
@@ -44,7 +44,7 @@
 // Connections that never sent a command are closed before those of active clients.
 func Example_flood() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -67,7 +67,7 @@
 // longest are closed.
 func Example_surplus() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	var all []*client
@@ -94,7 +94,7 @@
 // A command with the ID of an open op is rejected and does not affect that op.
 func Example_sameID() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		time.Sleep(50 * time.Millisecond)
 		return hit(words)
 	})
@@ -120,7 +120,7 @@
 // A client that disconnects early does not count against the host: the host's other connections stay open.
 func Example_leaver() {
 	f := &fleet{}
-	f.Host("a", hitWithSlowKey(30*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(30*time.Millisecond))
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -158,7 +158,7 @@
 		"SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n", "CLIENT_ERROR what\r\n", "EN Oother\r\n", "\x00\x01\x02\r\n",
 		"VA 99999999999999999999 O{id}\r\n", strings.Repeat("z", 9000), "VA 2 O{id}\r\nokEN O{id}\r\n"}
 	for _, name := range []string{"a", "b", "c"} {
-		f.Host(name, func(words []string) string {
+		f.AddHost(name, func(words []string) string {
 			switch n := draw(3 * len(malformed)); {
 			case n < len(malformed):
 				return strings.ReplaceAll(malformed[n], "VA 2 O{id}\r\nok", "VA 2 O{id}\r\n"+words[1])
@@ -168,7 +168,7 @@
 			return fmt.Sprintf("VA 2 O{id}\r\n%s\r\n", words[1])
 		})
 	}
-	f.Origin(func(w http.ResponseWriter, r *http.Request) {
+	f.AddOrigin(func(w http.ResponseWriter, r *http.Request) {
 		answer := []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + r.URL.Path[1:],
 			"HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
 			"HTTP/1.1 503 no\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n" + r.URL.Path[1:],
@@ -230,7 +230,7 @@
 // A client that reads late gets all answers, including those to commands that were not yet read by the process.
 func Example_lateReader() {
 	f := &fleet{}
-	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
+	f.AddHost("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -257,7 +257,7 @@
 // Clients that do not read their answers cost other clients neither memory nor service.
 func Example_slowReader() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":256}`}
-	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
+	f.AddHost("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
 	f.start()
 	var slow []*client
 	for range 30 {
@@ -285,7 +285,7 @@
 // Clients that send half of a large command cost other clients neither memory nor service.
 func Example_halfSent() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":512}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	var half []*client
 	for range 300 {
--- a/cmd/larchthread/commands_test.go
+++ b/cmd/larchthread/commands_test.go
@@ -138,9 +138,9 @@
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
 	}
-	f.Host("a", varied)
-	f.Host("b", varied)
-	f.Origin(handleOrigin)
+	f.AddHost("a", varied)
+	f.AddHost("b", varied)
+	f.AddOrigin(handleOrigin)
 	line := func(i int, kind string) string {
 		at := regexp.MustCompile(`"id":"(.*?)","host_port":"(.*?)"`).FindStringSubmatch(f.Members[i])
 		return fmt.Sprintf("%s,%s,z,%s\n", at[1], at[2], kind)
@@ -190,7 +190,7 @@
 	replaceList(strings.TrimSuffix(text, lastLine(text)))
 	fmt.Println(awaitHosts("known_cache_hosts:1"))
 	time.Sleep(500 * time.Millisecond)
-	f.Forget()
+	f.TakeNotes()
 	time.Sleep(100 * time.Millisecond)
 	notes := strings.Join(f.Notes(), " ")
 	fmt.Println("a receives ops:", strings.Contains(notes, "a: mg"), "b receives ops:", strings.Contains(notes, "b: mg"))
--- a/cmd/larchthread/fleet_test.go
+++ b/cmd/larchthread/fleet_test.go
@@ -65,7 +65,7 @@
 
 // printNotes prints the notes recorded since the last call, without discovery calls, whose timing varies.
 func (f *fleet) printNotes() {
-	for _, n := range f.Forget() {
+	for _, n := range f.TakeNotes() {
 		if !strings.HasPrefix(n, "discovery") {
 			fmt.Println(" ", n)
 		}
@@ -73,7 +73,7 @@
 }
 
 // mergeHostNames records hosts x and x2 under one name, for tests where either may be chosen first.
-func (f *fleet) mergeHostNames() { f.Rename("x2:", "x:") }
+func (f *fleet) mergeHostNames() { f.ReplaceInNotes("x2:", "x:") }
 
 // freeAddress returns a free loopback address.
 func freeAddress() string {
@@ -97,7 +97,7 @@
 // writeConfig writes the start file with the given discovery address.
 func (f *fleet) writeConfig(discovery string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"admin":%q,"discovery":%q,"seed":"7","limits":%s,"known":%s,"settings":%s}`,
-		f.listenAddress, f.adminAddress, discovery, f.limits, standin.List(1, true, f.Members...), f.settings)
+		f.listenAddress, f.adminAddress, discovery, f.limits, standin.HostListJSON(1, true, f.Members...), f.settings)
 	if !json.Valid([]byte(text)) {
 		panic(text)
 	}
@@ -108,7 +108,7 @@
 
 // start starts discovery and the process, and returns once the process watches discovery.
 func (f *fleet) start() {
-	f.Changed = make(chan string, 4)
+	f.WatchAnswers = make(chan string, 4)
 	f.listenAddress = freeAddress()
 	if f.limits == "" {
 		f.limits = `{"cores":1,"memory_mb":192,"sockets":1024}`
@@ -117,14 +117,14 @@
 		f.settings = defaultSettings
 	}
 	f.configPath = filepath.Join(os.TempDir(), fmt.Sprintf("larchthread-test-%d.json", os.Getpid()))
-	f.discoveryAddress = f.Lists("discovery")
+	f.discoveryAddress = f.ServeDiscovery("discovery")
 	f.writeConfig(f.discoveryAddress)
 	f.process = f.startProcess()
 	waitForListener(f.listenAddress)
 	if f.args == nil {
 		f.awaitNote("discovery: 1", 2)
 	}
-	f.Forget()
+	f.TakeNotes()
 }
 
 // waitForListener waits up to 5 s until an address accepts connections.
@@ -206,7 +206,7 @@
 
 // drainFirstHost has discovery announce that the first host drains.
 func (f *fleet) drainFirstHost() {
-	f.Changed <- standin.List(2, false, strings.Replace(f.Members[0], standin.InService, standin.Terminating, 1))
+	f.WatchAnswers <- standin.HostListJSON(2, false, strings.Replace(f.Members[0], standin.InService, standin.Terminating, 1))
 }
 
 // stop kills the process and closes what start opened.
@@ -289,7 +289,7 @@
 // copies of a push reach hosts in either order.
 func (f *fleet) printNotesSorted() {
 	f.mergeHostNames()
-	f.Sort()
+	f.SortNotes()
 	f.printNotes()
 }
 
--- a/cmd/larchthread/host_connections_test.go
+++ b/cmd/larchthread/host_connections_test.go
@@ -72,8 +72,8 @@
 // at-most-once op that still runs. A read that may be affected ends the connection first.
 func Example_secondAnswer() {
 	f := &fleet{}
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	var conns atomic.Int32
 	f.Serve(l, func(c net.Conn) {
 		n := conns.Add(1)
@@ -81,11 +81,11 @@
 		for answered := 0; ; answered++ {
 			line, err := r.ReadString('\n')
 			if err != nil {
-				f.Note("connection %d closed", n)
+				f.Notef("connection %d closed", n)
 				return
 			}
 			words := strings.Fields(line)
-			f.Note("connection %d: %s", n, words[3])
+			f.Notef("connection %d: %s", n, words[3])
 			if answered > 0 && strings.HasSuffix(words[3], "1") { // repeats the previous answer, then takes some time for this one
 				io.WriteString(c, "SERVER_ERROR busy\r\n")
 				time.Sleep(100 * time.Millisecond)
@@ -150,9 +150,9 @@
 // read as the rest of this one.
 func Example_answerBeforeTheEnd() {
 	f := &fleet{}
-	f.Host("a", miss)
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	var conns atomic.Int32
 	f.Serve(l, func(c net.Conn) {
 		n := conns.Add(1)
@@ -162,7 +162,7 @@
 				return
 			}
 			if verb, rest, _ := strings.Cut(line, " "); verb == "PUT" || verb == "GET" {
-				f.Note("origin %d: %s %s", n, verb, strings.Fields(rest)[0])
+				f.Notef("origin %d: %s %s", n, verb, strings.Fields(rest)[0])
 				if verb == "GET" {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nfetched")
 					continue
@@ -195,13 +195,13 @@
 // nacked.
 func Example_brokenWhileWritten() {
 	f := &fleet{}
-	f.Host("a", miss)
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	f.Serve(l, func(c net.Conn) {
 		bufio.NewReader(c).ReadString('\n')
-		f.Note("origin: begun")
-		standin.Reset(c)
+		f.Notef("origin: begun")
+		standin.ResetConn(c)
 	})
 	f.start()
 	defer f.stop()
--- a/cmd/larchthread/lists_test.go
+++ b/cmd/larchthread/lists_test.go
@@ -12,7 +12,7 @@
 // The watch continues after each answer and is restarted after a failure; a draining host gets no new op.
 func Example_watch() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -20,10 +20,10 @@
 	f.drainFirstHost()
 	f.awaitNote("a: connection closed", 1)
 	c.sendAndPrint(1, "mg k v O2 Pc=read,d=100\r\n")
-	f.Changed <- standin.List(3, true, f.Members[0])
+	f.WatchAnswers <- standin.HostListJSON(3, true, f.Members[0])
 	f.awaitNote("discovery: 3", 1)
 	c.sendAndPrint(2, "mg k v O3 Pc=read,d=500\r\n")
-	f.Changed <- "down"
+	f.WatchAnswers <- "down"
 	f.awaitNote("discovery: 3", 3) // the restarted watch and its second call
 	f.printNotes()
 	// Output:
@@ -41,7 +41,7 @@
 // command has begun.
 func Example_silent() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	silent, half, value, kept := f.newClient(), f.newClient(), f.newClient(), f.newClient()
@@ -76,7 +76,7 @@
 // unreadable file changes nothing.
 func Example_reload() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		time.Sleep(100 * time.Millisecond)
 		return hit(words)
 	})
@@ -86,7 +86,7 @@
 	os.WriteFile(f.configPath, []byte("{"), 0o600)
 	f.process.Process.Signal(syscall.SIGHUP)
 	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
-	f.writeConfig(f.Lists("discovery, moved"))
+	f.writeConfig(f.ServeDiscovery("discovery, moved"))
 	c.sendAndPrint(0, "mg k v O2 Pc=read,d=500\r\n")
 	f.awaitNote("a: mg k v O2 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGHUP)
@@ -112,7 +112,7 @@
 // A watch whose call is never answered is restarted on a new connection.
 func Example_deadWatch() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	f.awaitNote("discovery: 1", 2) // both calls of the restarted watch
--- a/cmd/larchthread/main.go
+++ b/cmd/larchthread/main.go
@@ -106,7 +106,7 @@
 // watchInventory loads the host list from the inventory file and reloads it whenever the file changes. An
 // unusable file leaves the current list in place; at start it is an error unless the start file has a host list.
 func watchInventory(operatorFile params.OperatorFile, router *routing.Router, log *slog.Logger) error {
-	watcher, hosts, err := inventory.Begin(operatorFile.InventoryPath)
+	watcher, hosts, err := inventory.NewWatcher(operatorFile.InventoryPath)
 	switch {
 	case err == nil:
 		router.SetInventory(hosts)
@@ -118,7 +118,7 @@
 	go func() {
 		for {
 			time.Sleep(operatorFile.PollInterval)
-			switch hosts, err := watcher.Look(); {
+			switch hosts, err := watcher.Poll(); {
 			case err != nil:
 				log.Error("inventory kept as it was", "error", err)
 			case hosts != nil:
--- a/cmd/larchthread/main_test.go
+++ b/cmd/larchthread/main_test.go
@@ -30,13 +30,13 @@
 // specific error.
 func Example() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		if words[1] == "cold" {
 			return miss(words)
 		}
 		return hit(words)
 	})
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
--- a/cmd/larchthread/many_test.go
+++ b/cmd/larchthread/many_test.go
@@ -22,7 +22,7 @@
 // If limits.sockets permits, 1,024 idle clients keep their connections and are served on them again.
 func TestManyIdleClients(t *testing.T) {
 	f := &fleet{limits: `{"cores":1,"memory_mb":192,"sockets":8192}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	for range maxPasses {
@@ -84,7 +84,7 @@
 	reached := &hostSet{names: map[string]bool{}}
 	for i := range all {
 		name := fmt.Sprint("cache", i)
-		f.Host(name, func(words []string) string {
+		f.AddHost(name, func(words []string) string {
 			reached.add(name)
 			return hit(words)
 		})
@@ -95,11 +95,11 @@
 	defer f.stop()
 	f.reachAllHosts(t, reached, first)
 
-	f.Changed <- standin.List(2, true, members...)
+	f.WatchAnswers <- standin.HostListJSON(2, true, members...)
 	f.awaitHostCount(t, all)
 	f.reachAllHosts(t, reached, all)
 
-	f.Changed <- standin.List(3, false, strings.Replace(members[7], standin.InService, standin.Terminated, 1))
+	f.WatchAnswers <- standin.HostListJSON(3, false, strings.Replace(members[7], standin.InService, standin.Terminated, 1))
 	f.awaitHostCount(t, all-1)
 	f.reachAllHosts(t, reached, all-1)
 	if reached.has("cache7") {
--- a/cmd/larchthread/process_test.go
+++ b/cmd/larchthread/process_test.go
@@ -17,7 +17,7 @@
 // After SIGTERM accepted ops are answered, new connections are served for a grace period, and the process exits.
 func Example_stop() {
 	f := &fleet{}
-	f.Host("a", hitWithSlowKey(100*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
 	c, idle := f.newClient(), f.newClient()
@@ -47,7 +47,7 @@
 // ones are closed only between two commands.
 func Example_stopUnderLoad() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		time.Sleep(3 * time.Millisecond)
 		return hit(words)
 	})
@@ -104,7 +104,7 @@
 // A command that may have waited past its time while the process was stalled is nacked.
 func Example_stall() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -131,7 +131,7 @@
 	}
 	defer r.Close()
 	f := &fleet{logOutput: w}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	for range 1500 { // more log lines than a pipe holds
