--- a/internal/routing/ban.go
+++ b/internal/routing/ban.go
@@ -7,57 +7,60 @@
 	"larchthread/internal/transport"
 )
 
-// ErrNeverListed is the error of a ban on an id that was never listed here.
+// ErrNeverListed reports an id that this router has never seen in a host list.
 var ErrNeverListed = errors.New("no cache host was ever listed under that id")
 
-// ErrNotListening is the error of what has to wait until it listens.
+// ErrNotListening reports a call that is not accepted until the router listens.
 var ErrNotListening = errors.New("not listening yet")
 
+// errOrigin reports a ban on the origin.
 var errOrigin = errors.New("the origin is no cache host: without it nothing could be written or fetched")
 
-// Ban takes a cache host out of use by hand, or puts it back; done hears the outcome. From then on nothing new is sent to
-// it, whatever lists say, by this process or the other of an upgrade.
-func (r *Router) Ban(id string, out bool, done func(error)) {
-	if r.clients.listener == nil { // the process before is not bound yet by what this one is told
+// Ban excludes a cache host from new ops, whatever host lists say, or lifts the ban. It also applies to the
+// other process during an upgrade. done is called with nil or the error: ErrNotListening, ErrNeverListed or
+// that the host is the origin.
+func (r *Router) Ban(id string, banned bool, done func(error)) {
+	if r.clients.listener == nil { // during take-over the previous process would not learn of it
 		done(ErrNotListening)
 		return
 	}
-	err := r.ApplyBan(id, out)
-	if r.handOver.partner == nil || err == errOrigin {
+	err := r.ApplyBan(id, banned)
+	if r.handOver.peer == nil || err == errOrigin {
 		done(err)
 		return
 	}
-	r.handOver.partner.ForwardBan(id, out, func(known bool) {
+	r.handOver.peer.ForwardBan(id, banned, func(known bool) {
 		if known && err == ErrNeverListed {
 			r.hosts.past.add(id)
-			err = r.ApplyBan(id, out)
+			err = r.ApplyBan(id, banned)
 		}
 		done(err)
 	})
 }
 
-// ApplyBan bans a host here, or lifts its ban.
-func (r *Router) ApplyBan(id string, out bool) error {
-	h, err := r.bannable(id)
+// ApplyBan bans a host in this process only, or lifts its ban. It returns ErrNeverListed for an unknown id and
+// another error for the origin.
+func (r *Router) ApplyBan(id string, banned bool) error {
+	h, err := r.findBannable(id)
 	if err != nil {
 		return err
 	}
-	r.balancer.SetBanned(&h.Host, out)
-	if out {
-		h.takeOut()
+	r.balancer.SetBanned(&h.Host, banned)
+	if banned {
+		h.onBan()
 		return nil
 	}
 	h.silent = false
-	h.hangUp(transport.HostGone)
+	h.closeIdle(transport.HostGone)
 	return nil
 }
 
-// banAll bans the hosts that another process has banned.
+// banAll applies the bans of another process.
 func (r *Router) banAll(ids []string) {
 	var hosts []*balance.Host
 	for _, id := range ids {
 		r.hosts.past.add(id)
-		if h, err := r.bannable(id); err == nil {
+		if h, err := r.findBannable(id); err == nil {
 			hosts = append(hosts, &h.Host)
 		}
 	}
@@ -66,18 +69,19 @@
 	}
 	r.balancer.BanHosts(hosts)
 	for _, b := range hosts {
-		b.Ref.(*host).takeOut()
+		b.Ref.(*host).onBan()
 	}
 }
 
-// takeOut ends what the router keeps for a host that has just been banned.
-func (h *host) takeOut() {
+// onBan stops using a host that has just been banned.
+func (h *host) onBan() {
 	h.silent = false
-	h.leave()
+	h.withdraw()
 }
 
-// bannable finds the host that a call names, also one that is known no more: it may come back under its id.
-func (r *Router) bannable(id string) (*host, error) {
+// findBannable returns the cache host with that id. A former host is registered again as gone, since it may
+// return under the same id.
+func (r *Router) findBannable(id string) (*host, error) {
 	h := r.hosts.byID[id]
 	if h == nil && r.hosts.past.ids[id] {
 		h = r.hosts.add(id, false)
--- a/internal/routing/client.go
+++ b/internal/routing/client.go
@@ -9,210 +9,214 @@
 	"larchthread/internal/transport"
 )
 
-// opState is what a client has had of its op.
+// opState is the state of an op as its client sees it.
 type opState uint8
 
 const (
-	open      opState = iota // nothing yet
-	answered                 // its answer is written, or stands in line
-	abandoned                // the client has gone
+	opOpen      opState = iota // no answer yet
+	opAnswered                 // its answer is written or queued
+	opAbandoned                // its client is gone
 )
 
-// op is an op with what the front holds of it.
+// op is a client's op with its connection, its answer and its pushes.
 type op struct {
 	balance.Op
-	client   *client
-	command  *protocol.Command
-	deadline float64         // ms, until which the client waits
-	reply    transport.Chain // its answer, where that has to wait for its turn
-	short    []byte          // the same, where that is short: a buffer each would be most of the memory
-	behind   []byte          // answers to commands right behind it that were turned away unread
-	flow     *flow           // of its long answer, or nil
-	bulk     int             // bytes reserved for its long value
-	pushes   []*push         // that are not over
-	first    [1]*push        // room for that: most have one
-	state    opState
+	client        *client
+	command       *protocol.Command
+	deadline      float64         // ms; the client waits until then
+	reply         transport.Chain // answer that waits for its turn
+	shortReply    []byte          // the same, copied out of its pooled buffer where it is short
+	trailingNacks []byte          // nacks for the commands right after it that were rejected unread
+	stream        *valueStream    // of its large answer, or nil
+	reservedBytes int             // buffer bytes reserved for its large value
+	pushes        []*push         // those that have not ended
+	firstPush     [1]*push        // backing array of pushes: most ops have one
+	state         opState
 }
 
-// move is the one place where an op changes its state here. Once it is not open any more, what has not been sent of it is not
-// sent: a connection for it may be on its way still.
-func (o *op) move(to opState) {
-	if o.state != open {
+// setState is the only place that changes the op's state. When the op stops being open, its pushes that have
+// not been sent in full are cancelled.
+func (o *op) setState(to opState) {
+	if o.state != opOpen {
 		return
 	}
 	o.state = to
 	for _, p := range slices.Clone(o.pushes) {
-		p.withdraw()
+		p.cancelUnsent()
 	}
-	if r := o.client.router; r.clients.ops[o.command.ID] == o {
-		delete(r.clients.ops, o.command.ID)
+	if r := o.client.router; r.clients.openOps[o.command.ID] == o {
+		delete(r.clients.openOps, o.command.ID)
 	}
 }
 
-// out is where the op's answer is written to: to the client, or behind ops that have none yet.
-func (o *op) out() *transport.Chain {
-	if c := o.client; o.state == open && len(c.line) > 0 && c.line[0] == o {
+// output returns where the op's answer is written: the client's output if the op is next in line, else the
+// queued reply.
+func (o *op) output() *transport.Chain {
+	if c := o.client; o.state == opOpen && len(c.pipeline) > 0 && c.pipeline[0] == o {
 		return &c.conn.Out
 	}
 	return &o.reply
 }
 
-// pass moves the answer on to the client.
-func (o *op) pass() {
+// forwardReply moves the queued answer to the client's output.
+func (o *op) forwardReply() {
 	out := &o.client.conn.Out
-	out.Write(o.short)
+	out.Write(o.shortReply)
 	out.MoveFrom(&o.reply)
-	out.Write(o.behind)
+	out.Write(o.trailingNacks)
 }
 
-// keep has a short answer that waits give its buffer back.
-func (o *op) keep() {
-	if n := o.reply.Len(); n > 0 && n <= shortMost {
-		o.short = o.reply.Bytes()
+// compactReply copies a short queued answer out of its pooled buffer and releases the buffer.
+func (o *op) compactReply() {
+	if n := o.reply.Len(); n > 0 && n <= maxUnpooledBytes {
+		o.shortReply = o.reply.Bytes()
 		o.reply.Free()
 	}
 }
 
-// client is a connection from a client.
+// client is a connection from a client. Its answers are sent in the order of its commands.
 type client struct {
-	router   *Router
-	conn     *transport.Conn
-	commands protocol.CommandReader
-	bulk     int              // bytes reserved for the long value that is on its way
-	queued   bool             // it waits for them
-	line     []*op            // commands in the order in which they came, until their answers are passed on
-	proven   bool             // an op has come
-	waits    bool             // the timer is for the rest of a command
-	left     bool             // it is out of the books
-	rest     *list.Element    // its place among those with nothing open, or nil
-	ending   transport.Reason // why the connection ends behind the answers; empty while it goes on
-	patience transport.Timer  // until the rest of a command, or the first op, has to be there
-	place    int              // among all clients
+	router        *Router
+	conn          *transport.Conn
+	decoder       protocol.CommandReader
+	reservedBytes int              // buffer bytes reserved for the large value being received
+	awaitsMemory  bool             // it waits for such a reservation
+	pipeline      []*op            // commands in order of arrival whose answers have not been forwarded
+	proven        bool             // at least one op has arrived
+	awaitsCommand bool             // the timer limits the rest of a command
+	removed       bool             // it has been deregistered
+	idleElement   *list.Element    // its element in the list of idle clients, or nil
+	closeReason   transport.Reason // the connection closes with it after the pending answers; empty to stay open
+	timer         transport.Timer  // limits the rest of a command, the first op and idle time
+	index         int              // in clientRegistry.all
 }
 
-// accept takes in a client's connection.
-func (r *Router) accept(conn *transport.Conn) {
+// acceptClient registers a new client connection.
+func (r *Router) acceptClient(conn *transport.Conn) {
 	c := &client{router: r, conn: conn}
-	conn.Handler, conn.EvictionClass = c, c.use
-	c.patience.Fire = c.overdue
-	r.loop.SetTimer(&c.patience, restFor)
+	conn.Handler, conn.EvictionClass = c, c.evictionClass
+	c.timer.Fire = c.onTimeout
+	r.loop.SetTimer(&c.timer, commandTimeout)
 	r.clients.add(c)
 }
 
-// between tells whether the connection stands between two commands, the last answers perhaps still to be written.
-func (c *client) between() bool {
-	return len(c.line) == 0 && !c.half()
+// betweenCommands reports whether no command is open or partly received. Answers may still be unsent.
+func (c *client) betweenCommands() bool {
+	return len(c.pipeline) == 0 && !c.hasPartialCommand()
 }
 
-// use tells what the connection is good for, where sockets run short.
-func (c *client) use() transport.EvictionClass {
+// evictionClass tells whether the connection may be closed when sockets run short.
+func (c *client) evictionClass() transport.EvictionClass {
 	switch {
-	case !c.proven && len(c.line) == 0:
+	case !c.proven && len(c.pipeline) == 0:
 		return transport.Unproven
-	case c.idle():
+	case c.isIdle():
 		return transport.Idle
 	}
 	return transport.Needed
 }
 
-// half tells whether part of a command has come.
-func (c *client) half() bool { return c.commands.HasPending() || c.conn.In.Len() > 0 }
+// hasPartialCommand reports whether part of a command has arrived.
+func (c *client) hasPartialCommand() bool { return c.decoder.HasPending() || c.conn.In.Len() > 0 }
 
-// attend sets how long the connection may stand as it is: with part of a command, or with nothing open. Clients may have
-// only so many connections, and some keep theirs for good: their like could open none. Until its first op a client has
-// what it was given at the start.
-func (c *client) attend(took bool) {
-	c.router.clients.atRest.remove(c)
+// updateTimer restarts or stops the timer according to the connection's state: commandTimeout with part of a
+// command, clientIdleTimeout while idle. Idle connections are limited so that other clients can connect. Until
+// the first op, the timeout set on accept stays. tookCommand tells that a command was read since the last call.
+func (c *client) updateTimer(tookCommand bool) {
+	c.router.clients.idle.remove(c)
 	switch {
-	case c.left || !c.proven && !c.commands.HasPending() || c.ending != "":
-	case c.conn.IsPaused() || !c.half() && len(c.line) > 0: // it is for this side to go on
-		c.waits = false
-		c.router.loop.StopTimer(&c.patience)
-	case !c.half():
-		c.waits = false
-		c.router.loop.SetTimer(&c.patience, idleFor)
-		c.router.clients.rest(c)
-	case took || !c.waits || c.commands.HasPending(): // a long value takes its time, as long as it comes
-		c.waits = true
-		c.router.loop.SetTimer(&c.patience, restFor)
+	case c.removed || !c.proven && !c.decoder.HasPending() || c.closeReason != "":
+	case c.conn.IsPaused() || !c.hasPartialCommand() && len(c.pipeline) > 0: // progress depends on this process
+		c.awaitsCommand = false
+		c.router.loop.StopTimer(&c.timer)
+	case !c.hasPartialCommand():
+		c.awaitsCommand = false
+		c.router.loop.SetTimer(&c.timer, clientIdleTimeout)
+		c.router.clients.markIdle(c)
+	case tookCommand || !c.awaitsCommand || c.decoder.HasPending(): // a large value may take longer while bytes keep arriving
+		c.awaitsCommand = true
+		c.router.loop.SetTimer(&c.timer, commandTimeout)
 	}
 }
 
-// overdue ends a connection that has stood for too long, with an error where part of a command has come.
-func (c *client) overdue() {
+// onTimeout closes a connection whose time is over, with an error answer if part of a command has arrived.
+func (c *client) onTimeout() {
 	switch {
-	case c.conn.HasPendingInput(): // what has just come may be the rest, or a first op
-		c.router.loop.SetTimer(&c.patience, heardFor)
-	case c.half():
-		c.ending = transport.IncompleteCommand
+	case c.conn.HasPendingInput(): // the pending input may be the rest or a first op
+		c.router.loop.SetTimer(&c.timer, pendingInputGrace)
+	case c.hasPartialCommand():
+		c.closeReason = transport.IncompleteCommand
 		c.conn.SetPaused(true)
-		c.take(&protocol.Command{Err: protocol.ErrIncomplete}, true, 0)
+		c.dispatch(&protocol.Command{Err: protocol.ErrIncomplete}, true, 0)
 	case c.proven:
-		c.finish(transport.IdleTimeout)
+		c.closeGracefully(transport.IdleTimeout)
 	default:
-		c.finish(transport.NoCommand)
+		c.closeGracefully(transport.NoCommand)
 	}
 }
 
-// idle tells whether the connection may be closed to make room: nothing is owed on it, or nothing moves.
-func (c *client) idle() bool {
-	return c.between() && c.conn.Out.Len() == 0 || len(c.line) == 0 && c.router.loop.Now()-c.conn.LastUsed > stuckFor
+// isIdle reports whether the connection may be evicted: it has no open op, and either nothing is pending on it or
+// a partial command or unsent answers have made no progress for progressTimeout.
+func (c *client) isIdle() bool {
+	return c.betweenCommands() && c.conn.Out.Len() == 0 ||
+		len(c.pipeline) == 0 && c.router.loop.Now()-c.conn.LastUsed > progressTimeout
 }
 
-// Received implements transport.Owner.
+// Received implements transport.ConnHandler: it reads and dispatches commands until the input, the client's
+// share of the round or its limits are used up.
 func (c *client) Received(conn *transport.Conn) {
 	conn.LastUsed = c.router.loop.Now()
-	if f := c.flowing(); f != nil {
+	if f := c.headStream(); f != nil {
 		f.advance()
-		if c.left {
+		if c.removed {
 			return
 		}
 	}
-	took := false
-	for c.ending == "" && len(c.line) < lineMost && conn.Out.Len() < replyMost {
+	tookCommand := false
+	for c.closeReason == "" && len(c.pipeline) < maxPipelinedCommands && conn.Out.Len() < maxUnsentBytes {
 		room, backoff := c.router.balancer.Admit()
-		if !room && c.turnAway(backoff) {
-			took = true
+		if !room && c.nackUnread(backoff) {
+			tookCommand = true
 			continue
 		}
-		command, err := c.commands.Next(&conn.In)
-		if err != nil { // what was taken before it is still answered
-			c.router.log.Warn("command not understood", "peer", conn.Peer(), "error", err)
-			c.ending = transport.BadInput
+		command, err := c.decoder.Next(&conn.In)
+		if err != nil { // earlier commands are still answered
+			c.router.log.Warn("invalid command from client", "peer", conn.Peer(), "error", err)
+			c.closeReason = transport.BadInput
 			command = &protocol.Command{Err: err}
 		}
 		if command == nil {
-			conn.SetPaused(!c.reserve())
-			c.attend(took)
+			conn.SetPaused(!c.reserveMemory())
+			c.updateTimer(tookCommand)
 			return
 		}
-		took = true
-		c.take(command, room, backoff)
-		if c.router.loop.ClientTimeExhausted() && conn.In.Len() > 0 && c.ending == "" {
+		tookCommand = true
+		c.dispatch(command, room, backoff)
+		if c.router.loop.ClientTimeExhausted() && conn.In.Len() > 0 && c.closeReason == "" {
 			c.router.loop.DeferReceive(conn)
-			c.attend(took)
+			c.updateTimer(tookCommand)
 			return
 		}
 	}
 	conn.SetPaused(true)
-	c.attend(took)
+	c.updateTimer(tookCommand)
 }
 
-// turnAway nacks a command that is not read, if it can be told what it is. Its answer stands behind that of the last which
-// has been.
-func (c *client) turnAway(backoff float64) bool {
-	last := len(c.line) - 1
-	if last >= 0 && len(c.line[last].behind) > shortMost {
+// nackUnread nacks the next command without reading its value, and reports whether it could. The nack is queued
+// behind the answer of the last open command.
+func (c *client) nackUnread(backoff float64) bool {
+	last := len(c.pipeline) - 1
+	if last >= 0 && len(c.pipeline[last].trailingNacks) > maxUnpooledBytes {
 		return false
 	}
-	category, skipped := protocol.SkipGet(&c.commands, &c.conn.In, c.router.configuration.categories)
+	category, skipped := protocol.SkipGet(&c.decoder, &c.conn.In, c.router.configuration.categories)
 	if !skipped {
 		return false
 	}
 	c.router.counters.byCategory[category].Nacked++
 	c.proven = true
 	if last >= 0 {
-		c.line[last].behind = protocol.AppendNack(c.line[last].behind, backoff)
+		c.pipeline[last].trailingNacks = protocol.AppendNack(c.pipeline[last].trailingNacks, backoff)
 		return true
 	}
 	protocol.WriteNack(&c.conn.Out, backoff)
@@ -220,26 +224,27 @@
 	return true
 }
 
-// take serves one command, where there is room for it.
-func (c *client) take(command *protocol.Command, room bool, backoff float64) {
+// dispatch answers a command or hands its op to the balancer; without room the op is nacked with the given
+// backoff in ms.
+func (c *client) dispatch(command *protocol.Command, room bool, backoff float64) {
 	r := c.router
-	o := &op{client: c, command: command, reply: r.loop.Pool.NewChain(), bulk: c.bulk}
-	c.bulk = 0
-	c.line = append(c.line, o)
+	o := &op{client: c, command: command, reply: r.loop.Pool.NewChain(), reservedBytes: c.reservedBytes}
+	c.reservedBytes = 0
+	c.pipeline = append(c.pipeline, o)
 	switch category := r.configuration.categories[command.Category]; {
 	case command.Err != nil:
-		protocol.WriteClientError(o.out(), command.Err)
+		protocol.WriteClientError(o.output(), command.Err)
 	case command.Verb == protocol.Ping:
-		protocol.WritePong(o.out())
+		protocol.WritePong(o.output())
 	case category == nil:
-		protocol.WriteClientError(o.out(), protocol.UnknownCategoryError(command))
-	case r.clients.ops[command.ID] != nil: // hosts would take the two for one, and turn both away
-		protocol.WriteClientError(o.out(), protocol.DuplicateIDError(command))
+		protocol.WriteClientError(o.output(), protocol.UnknownCategoryError(command))
+	case r.clients.openOps[command.ID] != nil: // hosts would treat the two as one op and reject both
+		protocol.WriteClientError(o.output(), protocol.DuplicateIDError(command))
 	case !room:
 		r.counters.byCategory[category].Nacked++
-		protocol.WriteNack(o.out(), backoff)
+		protocol.WriteNack(o.output(), backoff)
 	default:
-		r.clients.ops[command.ID], o.pushes = o, o.first[:0]
+		r.clients.openOps[command.ID], o.pushes = o, o.firstPush[:0]
 		c.proven = true
 		o.deadline = c.conn.ArrivedAt + command.TTL
 		o.Op = balance.Op{Ref: o, Category: category, Key: command.Key, Deadline: o.deadline,
@@ -247,78 +252,79 @@
 		r.balancer.OpArrived(&o.Op)
 		return
 	}
-	c.answer(o)
+	c.completeOp(o)
 }
 
-// answer passes on the answers at the head of the line; one behind an op without an answer waits.
-func (c *client) answer(o *op) {
-	if o.state != open {
+// completeOp marks an op as answered and forwards the answers that are complete at the head of the pipeline.
+func (c *client) completeOp(o *op) {
+	if o.state != opOpen {
 		o.reply.Free()
 		return
 	}
-	o.move(answered)
-	o.keep()
+	o.setState(opAnswered)
+	o.compactReply()
 	r := c.router
-	full := len(c.line) >= lineMost
+	wasFull := len(c.pipeline) >= maxPipelinedCommands
 	n := 0
-	for _, o := range c.line {
-		if o.state == open {
+	for _, o := range c.pipeline {
+		if o.state == opOpen {
 			break
 		}
-		o.pass()
+		o.forwardReply()
 		o.command.Value.Free()
-		r.memory.release(&o.bulk)
+		r.memory.release(&o.reservedBytes)
 		n++
 	}
-	c.line = slices.Delete(c.line, 0, n)
-	if c.flowing() != nil { // its turn has come
+	c.pipeline = slices.Delete(c.pipeline, 0, n)
+	if c.headStream() != nil { // the next answer in line is streamed
 		r.loop.ScheduleReceive(c.conn)
 	}
 	if n > 0 {
 		c.conn.Flush()
 		switch {
-		case c.ending != "" && len(c.line) == 0:
-			c.finish(c.ending)
-		case r.shutdown.closing && r.handOver.successor == nil && c.between():
-			// A client without pauses would go on until the end is forced.
-			c.finish(transport.ShuttingDown)
-		case full: // commands that have come meanwhile are read on
+		case c.closeReason != "" && len(c.pipeline) == 0:
+			c.closeGracefully(c.closeReason)
+		case r.shutdown.closing && r.handOver.successor == nil && c.betweenCommands():
+			// A client that never pauses would otherwise keep its connection until the process is killed.
+			c.closeGracefully(transport.ShuttingDown)
+		case wasFull: // read the commands that arrived meanwhile
 			r.loop.ScheduleReceive(c.conn)
 		default:
-			c.attend(false)
+			c.updateTimer(false)
 		}
 	}
 }
 
-// Ended implements transport.Owner.
-func (c *client) Ended(*transport.Conn, transport.Reason) { c.leave() }
+// Ended implements transport.ConnHandler: it abandons the client's open ops.
+func (c *client) Ended(*transport.Conn, transport.Reason) { c.deregister() }
 
-// finish takes the client out of the books and ends its connection in good order.
-func (c *client) finish(why transport.Reason) {
-	c.leave()
-	c.conn.HalfClose(why)
+// closeGracefully deregisters the client and closes its connection once the pending answers are sent.
+func (c *client) closeGracefully(reason transport.Reason) {
+	c.deregister()
+	c.conn.HalfClose(reason)
 }
 
-// leave takes the client's ops out of the books.
-func (c *client) leave() {
+// deregister removes the client, abandons its open ops and releases their memory.
+func (c *client) deregister() {
 	r := c.router
-	c.left = true
-	r.loop.StopTimer(&c.patience)
+	c.removed = true
+	r.loop.StopTimer(&c.timer)
 	r.clients.remove(c)
-	line := c.line
-	c.line = nil
-	for _, o := range line {
-		if o.state == open {
-			o.move(abandoned)
+	pipeline := c.pipeline
+	c.pipeline = nil
+	for _, o := range pipeline {
+		if o.state == opOpen {
+			o.setState(opAbandoned)
 			r.balancer.ClientLeft(&o.Op)
 		}
-		if o.flow != nil && o.flow.link.push.state == flowing { // where calling off is not allowed it goes nowhere either
-			o.flow.link.push.callOff(transport.Cancelled)
+		if o.stream != nil && o.stream.hostConn.push.state == pushStreaming {
+			// Nobody reads the stream, so it ends even where cancelling pushes is not allowed.
+			o.stream.hostConn.push.cancel(transport.Cancelled)
 		}
 		o.reply.Free()
 		o.command.Value.Free()
-		r.memory.release(&o.bulk)
+		r.memory.release(&o.reservedBytes)
 	}
-	r.memory.release(&c.bulk)
-	r.memory.withdraw(c)
+	r.memory.release(&c.reservedBytes)
+	r.memory.dequeue(c)
 }
--- a/internal/routing/client_side.go
+++ b/internal/routing/client_side.go
@@ -6,57 +6,59 @@
 	"larchthread/internal/transport"
 )
 
-// clientSide is the clients' listener, the connections that came over it, and the ops that came over those.
-type clientSide struct {
-	listener  *transport.Listener // nil until it listens
-	all       []*client
-	atRest    resting
-	maxAtRest int            // clients with nothing open that may stay
-	ops       map[string]*op // by id, those without an answer
+// clientRegistry holds the clients' listener, their connections and their open ops.
+type clientRegistry struct {
+	listener *transport.Listener // nil until the router listens
+	all      []*client
+	idle     idleList
+	maxIdle  int            // idle clients that may stay connected
+	openOps  map[string]*op // by id
 }
 
-// newClientSide makes one that keeps so many clients with nothing open.
-func newClientSide(maxAtRest int) clientSide {
-	return clientSide{maxAtRest: maxAtRest, ops: map[string]*op{}}
+// newClientRegistry returns an empty registry that keeps at most maxIdle idle clients.
+func newClientRegistry(maxIdle int) clientRegistry {
+	return clientRegistry{maxIdle: maxIdle, openOps: map[string]*op{}}
 }
 
-// add takes a client into the books.
-func (s *clientSide) add(c *client) {
-	c.place = len(s.all)
+// add registers a client.
+func (s *clientRegistry) add(c *client) {
+	c.index = len(s.all)
 	s.all = append(s.all, c)
 }
 
-// remove takes a client out of the books.
-func (s *clientSide) remove(c *client) {
-	s.atRest.remove(c)
+// remove deletes a client in constant time; the order of all is not kept.
+func (s *clientRegistry) remove(c *client) {
+	s.idle.remove(c)
 	last := s.all[len(s.all)-1]
-	s.all[c.place], last.place = last, c.place
+	s.all[c.index], last.index = last, c.index
 	s.all = s.all[:len(s.all)-1]
 }
 
-// rest notes that a client has nothing open, and ends the connection that has had nothing open for the longest time, where
-// there are many. Where clients open one for each op and keep it, those that may have no more go unheard.
-func (s *clientSide) rest(c *client) {
-	s.atRest.add(c)
-	if s.atRest.Len() <= s.maxAtRest {
+// markIdle records that a client is idle. If more than maxIdle clients are idle, it closes the one that has
+// been idle longest, so that clients that hold many connections don't keep others out.
+func (s *clientRegistry) markIdle(c *client) {
+	s.idle.add(c)
+	if s.idle.Len() <= s.maxIdle {
 		return
 	}
-	for e := s.atRest.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*client); !c.conn.HasPendingInput() { // else an op has come on it
-			c.finish(transport.SurplusIdle)
+	for e := s.idle.Front(); e != nil; e = e.Next() {
+		if c := e.Value.(*client); !c.conn.HasPendingInput() { // else an op has just arrived on it
+			c.closeGracefully(transport.SurplusIdle)
 			return
 		}
 	}
 }
 
-// resting are the clients with nothing open, that for longest first.
-type resting struct{ list.List }
+// idleList holds the idle clients, the one idle longest first.
+type idleList struct{ list.List }
 
-func (l *resting) add(c *client) { c.rest = l.PushBack(c) }
+// add appends a client as the one idle for the shortest time.
+func (l *idleList) add(c *client) { c.idleElement = l.PushBack(c) }
 
-func (l *resting) remove(c *client) {
-	if c.rest != nil {
-		l.Remove(c.rest)
-		c.rest = nil
+// remove removes a client if it is in the list.
+func (l *idleList) remove(c *client) {
+	if c.idleElement != nil {
+		l.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
--- a/internal/routing/figures.go
+++ b/internal/routing/figures.go
@@ -2,40 +2,41 @@
 
 import "larchthread/balance"
 
-// CategoryCounts counts the ops of a category by their last answer.
+// CategoryCounts counts the ops of a category by how they were answered.
 type CategoryCounts struct {
 	Name                        string
 	Acked, Nacked, DeadLettered int
 }
 
-// Stats are what operators read of a balancer.
+// Stats are the counters and gauges of a router.
 type Stats struct {
-	Categories []*CategoryCounts // in the order of the start parameters
-	Pushes     int               // written whole to cache hosts
-	OpenOps    int               // ops without a last answer
-	Hosts      int               // cache hosts on the list
-	Avoided    int               // of these, those that get no op now
+	Categories []*CategoryCounts // in the order of the settings
+	Pushes     int               // sent in full to cache hosts
+	OpenOps    int               // ops without a final answer
+	Hosts      int               // listed cache hosts
+	Avoided    int               // listed cache hosts that get no ops now
 }
 
-// counters counts what operators read, where it happens.
+// counters holds the counters behind Stats.
 type counters struct {
-	tallies    []*CategoryCounts // in the order of the start parameters
+	categories []*CategoryCounts // in the order of the settings
 	byCategory map[*balance.Category]*CategoryCounts
-	pushes     int // written whole to cache hosts
+	pushes     int // sent in full to cache hosts
 }
 
+// newCounters returns counters without categories.
 func newCounters() counters { return counters{byCategory: map[*balance.Category]*CategoryCounts{}} }
 
-// add has the ops of a category counted.
+// add registers a category.
 func (c *counters) add(name string, category *balance.Category) {
-	t := &CategoryCounts{Name: name}
-	c.tallies = append(c.tallies, t)
-	c.byCategory[category] = t
+	counts := &CategoryCounts{Name: name}
+	c.categories = append(c.categories, counts)
+	c.byCategory[category] = counts
 }
 
-// Stats tells how things stand.
+// Stats returns the current counters and gauges.
 func (r *Router) Stats() Stats {
-	f := Stats{Categories: r.counters.tallies, Pushes: r.counters.pushes, OpenOps: len(r.clients.ops)}
-	f.Hosts, f.Avoided = r.balancer.HostCounts()
-	return f
+	s := Stats{Categories: r.counters.categories, Pushes: r.counters.pushes, OpenOps: len(r.clients.openOps)}
+	s.Hosts, s.Avoided = r.balancer.HostCounts()
+	return s
 }
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -6,137 +6,138 @@
 	"larchthread/internal/transport"
 )
 
-// flow is a long value on its way from a host to a client: the host is read no faster than the client takes it.
-type flow struct {
-	link   *link
-	op     *op
-	answer *protocol.Answer
-	begun  bool            // its first bytes have been passed on
-	in     transport.Chain // what the host had sent when it closed the connection
-	closed bool            // it has
-	stuck  transport.Timer // until something has to move
+// valueStream forwards a large value from a host to a client. The host is read no faster than the client reads.
+type valueStream struct {
+	hostConn      *hostConn
+	op            *op
+	answer        *protocol.Answer
+	started       bool            // the answer's first line has been written
+	remainder     transport.Chain // input that was unread when the host closed the connection
+	hostClosed    bool            // the host has closed the connection
+	progressTimer transport.Timer // fires when the stream makes no progress
 }
 
-// begin lets the value of an answer flow.
-func (l *link) begin(a *protocol.Answer) {
-	p := l.push
-	f := &flow{link: l, op: p.op, answer: a, in: l.conn.In.NewSibling()}
-	p.took = l.router.loop.Now() - p.began
-	p.move(flowing)
-	l.flow, p.op.flow = f, f
-	f.stuck.Fire = f.stopped
-	l.router.balancer.StreamingStarted(p.Push)
-	f.op.client.conn.AfterWrite = f.op.client.wrote
+// startStream starts to forward the value of an answer.
+func (hc *hostConn) startStream(a *protocol.Answer) {
+	p := hc.push
+	f := &valueStream{hostConn: hc, op: p.op, answer: a, remainder: hc.conn.In.NewSibling()}
+	p.firstByteAfter = hc.router.loop.Now() - p.startedAt
+	p.setState(pushStreaming)
+	hc.stream, p.op.stream = f, f
+	f.progressTimer.Fire = f.onStall
+	hc.router.balancer.StreamingStarted(p.Push)
+	f.op.client.conn.AfterWrite = f.op.client.afterWrite
 	f.advance()
 }
 
-// source holds the bytes that have come.
-func (f *flow) source() *transport.Chain {
-	if f.closed {
-		return &f.in
+// source returns the input that has not been forwarded.
+func (f *valueStream) source() *transport.Chain {
+	if f.hostClosed {
+		return &f.remainder
 	}
-	return &f.link.conn.In
+	return &f.hostConn.conn.In
 }
 
-// advance passes on what has come, as far as the client takes it. Behind an op that has no answer yet it waits.
-func (f *flow) advance() {
-	c, l := f.op.client, f.link
-	if c.line[0] == f.op {
-		if !f.begun {
-			f.begun = true
+// advance forwards the available input, up to the window. Nothing is forwarded until the op is next in line.
+func (f *valueStream) advance() {
+	c, hc := f.op.client, f.hostConn
+	if c.pipeline[0] == f.op {
+		if !f.started {
+			f.started = true
 			protocol.WriteStreamHeader(&c.conn.Out, f.op.command, f.answer)
 		}
 		before := f.source().Len()
-		over, err := l.reader.StreamValue(f.source(), &c.conn.Out, max(0, flowMost-c.conn.Out.Len()))
+		done, err := hc.reader.StreamValue(f.source(), &c.conn.Out, max(0, streamWindowBytes-c.conn.Out.Len()))
 		if f.source().Len() < before {
 			c.conn.Flush()
 		}
 		switch {
 		case err != nil:
-			l.router.log.Warn("answer not understood", "peer", l.host.Name, "error", err)
-			f.broke(transport.BadInput, balance.InvalidAnswer)
+			hc.router.log.Warn("invalid answer from host", "peer", hc.host.Name, "error", err)
+			f.abort(transport.BadInput, balance.InvalidAnswer)
 			return
-		case over:
-			f.whole()
+		case done:
+			f.complete()
 			return
-		case f.closed && c.conn.Out.Len() < flowMost: // there was room for all that has come
-			f.broke(transport.PeerClosed, balance.ConnBroken)
+		case f.hostClosed && c.conn.Out.Len() < streamWindowBytes: // no input is left
+			f.abort(transport.PeerClosed, balance.ConnBroken)
 			return
 		}
 	}
-	l.router.loop.SetTimer(&f.stuck, stuckFor)
-	l.conn.SetPaused(l.conn.In.Len() > 0)
+	hc.router.loop.SetTimer(&f.progressTimer, progressTimeout)
+	hc.conn.SetPaused(hc.conn.In.Len() > 0)
 }
 
-// whole ends a flow with its last byte.
-func (f *flow) whole() {
-	l, p, op := f.link, f.link.push, f.op
-	p.move(over)
-	f.end()
-	l.push = nil
-	if f.closed {
-		l.close(transport.CloseRequested)
+// complete ends the stream after its last byte.
+func (f *valueStream) complete() {
+	hc, p, op := f.hostConn, f.hostConn.push, f.op
+	p.setState(pushEnded)
+	f.release()
+	hc.push = nil
+	if f.hostClosed {
+		hc.close(transport.CloseRequested)
 	} else {
-		l.conn.SetPaused(false)
-		l.spare(f.answer.Close)
+		hc.conn.SetPaused(false)
+		hc.keepIdle(f.answer.Close)
 	}
-	l.router.counters.byCategory[op.Category].Acked++
-	op.client.answer(op)
-	l.router.ended(p, balance.Served, f.answer.Load...)
+	hc.router.counters.byCategory[op.Category].Acked++
+	op.client.completeOp(op)
+	hc.router.reportEnd(p, balance.Served, f.answer.Load...)
 }
 
-// hostEnded takes word that the host's side of the connection is over. What it sent before still goes out, in the client's
+// hostEnded handles the end of the host's connection. Input received before is still forwarded at the client's
 // pace.
-func (f *flow) hostEnded(why transport.Reason) {
-	f.in.MoveFrom(&f.link.conn.In)
-	f.closed = true
+func (f *valueStream) hostEnded(reason transport.Reason) {
+	f.remainder.MoveFrom(&f.hostConn.conn.In)
+	f.hostClosed = true
 	f.advance()
 }
 
-// stopped takes word that nothing has moved for long: the client takes nothing, or the host sends nothing.
-func (f *flow) stopped() {
+// onStall ends a stream that has made no progress: either the client does not read or the host does not send.
+func (f *valueStream) onStall() {
 	if f.source().Len() > 0 || f.op.client.conn.Out.Len() > 0 {
-		f.op.client.cut(transport.SlowReader)
+		f.op.client.closeNow(transport.SlowReader)
 		return
 	}
-	f.broke(transport.PushTimeout, balance.TimedOut)
+	f.abort(transport.PushTimeout, balance.TimedOut)
 }
 
-// broke ends a flow that will not be whole. Its client has to be able to tell: its connection ends in the middle.
-func (f *flow) broke(why transport.Reason, o balance.Outcome) {
-	l, p, c := f.link, f.link.push, f.op.client
-	l.close(why)
-	p.move(over)
-	l.router.counters.byCategory[f.op.Category].DeadLettered++
-	f.op.move(answered)
-	l.router.ended(p, o)
-	c.cut(transport.IncompleteAnswer)
+// abort ends an incomplete stream. It closes the client's connection in the middle of the answer, since the
+// client has no other way to notice.
+func (f *valueStream) abort(reason transport.Reason, o balance.Outcome) {
+	hc, p, c := f.hostConn, f.hostConn.push, f.op.client
+	hc.close(reason)
+	p.setState(pushEnded)
+	hc.router.counters.byCategory[f.op.Category].DeadLettered++
+	f.op.setState(opAnswered)
+	hc.router.reportEnd(p, o)
+	c.closeNow(transport.IncompleteAnswer)
 }
 
-// end takes the flow out of the books.
-func (f *flow) end() {
-	f.link.router.loop.StopTimer(&f.stuck)
-	f.in.Free()
-	f.link.flow, f.op.flow = nil, nil
+// release detaches the stream from its op and connection and frees its buffers.
+func (f *valueStream) release() {
+	f.hostConn.router.loop.StopTimer(&f.progressTimer)
+	f.remainder.Free()
+	f.hostConn.stream, f.op.stream = nil, nil
 }
 
-// flowing is the flow whose turn it is, or nil.
-func (c *client) flowing() *flow {
-	if len(c.line) == 0 {
+// headStream returns the stream of the first op in line, or nil.
+func (c *client) headStream() *valueStream {
+	if len(c.pipeline) == 0 {
 		return nil
 	}
-	return c.line[0].flow
+	return c.pipeline[0].stream
 }
 
-// wrote goes on with a flow once its client has taken half of what waits for it.
-func (c *client) wrote() {
-	if c.flowing() != nil && c.conn.Out.Len() <= flowMost/2 {
+// afterWrite continues a stream once the client has read half of the window.
+func (c *client) afterWrite() {
+	if c.headStream() != nil && c.conn.Out.Len() <= streamWindowBytes/2 {
 		c.router.loop.ScheduleReceive(c.conn)
 	}
 }
 
-// cut ends a client's connection at once.
-func (c *client) cut(why transport.Reason) {
-	c.leave()
-	c.conn.Close(why)
+// closeNow closes the client's connection at once.
+func (c *client) closeNow(reason transport.Reason) {
+	c.deregister()
+	c.conn.Close(reason)
 }
--- a/internal/routing/host_pool.go
+++ b/internal/routing/host_pool.go
@@ -7,35 +7,35 @@
 	"larchthread/internal/protocol"
 )
 
-// hostPool is the hosts that are known, those that were, and how connections to them are made and kept.
+// hostPool holds the known hosts, the ids of former hosts and the connection timeouts.
 type hostPool struct {
 	byID           map[string]*host
-	past           past
-	idleTimeout    float64 // ms for which hosts keep idle connections
-	connectTimeout float64 // ms in which a connection has to come up
+	past           pastHosts
+	idleTimeout    float64 // ms for which hosts keep idle connections open
+	connectTimeout float64 // ms
 }
 
-// newHostPool makes a pool without hosts. Where it is not told how long a connection may take to come up, that is as usual.
+// newHostPool returns an empty pool. A connectTimeout of 0 ms or less selects the default.
 func newHostPool(connectTimeout float64) hostPool {
 	if connectTimeout <= 0 {
-		connectTimeout = connectFor
+		connectTimeout = defaultConnectTimeout
 	}
 	return hostPool{byID: map[string]*host{}, connectTimeout: connectTimeout}
 }
 
-// host is a cache host, or the origin, with the connections to it that carry nothing.
+// host is a cache host or the origin, with its idle connections and its unfinished pushes.
 type host struct {
 	balance.Host
-	address netip.AddrPort
-	listed  protocol.Member // the latest line on it
-	idle    []*link
-	heard   float64 // ms, time of its last answer
-	pushes  []*push // on connections to it
-	gone    float64 // ms, when it was first seen to be gone; 0 while it is not
-	silent  bool    // the last push to it had to be given up, and none was answered since that began
+	address      netip.AddrPort
+	listEntry    protocol.Member // its latest entry in a host list
+	idleConns    []*hostConn
+	lastAnswerAt float64 // ms
+	pushes       []*push // on connections to it
+	goneSince    float64 // ms; 0 while it is listed
+	silent       bool    // a push to it was given up, and no later answer has arrived
 }
 
-// add makes a host known.
+// add creates a host and registers it.
 func (p *hostPool) add(id string, origin bool) *host {
 	h := &host{Host: balance.Host{Name: id, IsOrigin: origin}}
 	h.Ref = h
@@ -43,17 +43,17 @@
 	return h
 }
 
-// forget lets go of hosts that have been gone for a while: where hosts are replaced by new ones, ids are ever new. One that
-// comes back sooner is still known, with what was learned of it and what it was sent.
-func (p *hostPool) forget(now float64) {
+// removeGone forgets hosts that have been gone for goneHostRetention, so that fleets with ever new ids don't
+// grow the table without bound. A host that returns earlier keeps its state.
+func (p *hostPool) removeGone(now float64) {
 	for id, h := range p.byID {
 		switch {
 		case h.Status != balance.Gone:
-			h.gone = 0
-		case h.gone == 0:
-			h.gone = now
-			h.leave() // a whole list does not name it
-		case now-h.gone > goneFor && len(h.pushes) == 0 && !h.Banned:
+			h.goneSince = 0
+		case h.goneSince == 0:
+			h.goneSince = now
+			h.withdraw() // a complete list does not name it, so applyList has not done this
+		case now-h.goneSince > goneHostRetention && len(h.pushes) == 0 && !h.Banned:
 			delete(p.byID, id)
 			if !h.IsOrigin {
 				p.past.add(id)
@@ -62,13 +62,15 @@
 	}
 }
 
-// past holds the ids of hosts that are known no more, the latest of them: each may still be named by a call.
-type past struct {
+// pastHosts holds the ids of the latest maxPastHosts hosts that are no longer known. Operators may still name
+// them.
+type pastHosts struct {
 	ids   map[string]bool
 	order []string
 }
 
-func (p *past) add(id string) {
+// add records an id, and forgets the oldest one beyond maxPastHosts.
+func (p *pastHosts) add(id string) {
 	if p.ids[id] {
 		return
 	}
@@ -76,7 +78,7 @@
 		p.ids = map[string]bool{}
 	}
 	p.ids[id], p.order = true, append(p.order, id)
-	if len(p.order) > pastMost {
+	if len(p.order) > maxPastHosts {
 		delete(p.ids, p.order[0])
 		p.order = append(p.order[:0], p.order[1:]...)
 	}
--- a/internal/routing/inventory.go
+++ b/internal/routing/inventory.go
@@ -8,22 +8,22 @@
 	"larchthread/internal/protocol"
 )
 
-// inventoryState is the list of hosts that comes by hand, from a file, in place of discovery's.
+// inventoryState is the host list from an inventory file, which replaces discovery's.
 type inventoryState struct {
 	inUse   bool
-	pending atomic.Pointer[[]inventory.Host] // still to be put in force
-	current *[]inventory.Host                // in force
+	pending atomic.Pointer[[]inventory.Host] // not applied yet
+	current *[]inventory.Host                // applied
 }
 
-// SetInventory puts a list of hosts in force in place of discovery's. It may be called from any goroutine.
+// SetInventory replaces the host list in the next round. It may be called from any goroutine.
 func (r *Router) SetInventory(hosts []inventory.Host) {
 	r.inventory.pending.Store(&hosts)
 	r.loop.Wake()
 }
 
-// takeInventory hands the list on, as one of discovery's: hosts that are not on it drain, and new ones join. The file does not
-// tell when a host started, so one that comes later than the first list, or to another address, is taken for cold.
-func (r *Router) takeInventory() {
+// applyInventory applies a pending inventory as a complete host list: hosts not in it drain. The file has no
+// start times, so hosts added after the first list, or with a changed address, count as just started.
+func (r *Router) applyInventory() {
 	hosts := r.inventory.pending.Swap(nil)
 	if hosts == nil {
 		return
@@ -35,15 +35,15 @@
 		m := protocol.Member{ID: h.ID, Address: h.Address, Locality: h.Zone, Flavor: h.Kind, Phase: protocol.InService,
 			Size: h.Weight}
 		switch before := r.hosts.byID[h.ID]; {
-		case first: // the first list: nothing tells that any is new
-		case before == nil || before.listed.Address != h.Address || before.Status == balance.Gone:
+		case first: // no host is known to be new
+		case before == nil || before.listEntry.Address != h.Address || before.Status == balance.Gone:
 			m.UpSince = r.loop.Now()
 		default:
-			m.UpSince = before.listed.UpSince
+			m.UpSince = before.listEntry.UpSince
 		}
 		l.Members = append(l.Members, m)
 	}
 	r.log.Info("inventory", "hosts", len(l.Members))
 	r.watch.revision = l.Revision
-	r.list(l, true, false)
+	r.applyList(l, true, false)
 }
--- a/internal/routing/inventory_test.go
+++ b/internal/routing/inventory_test.go
@@ -11,7 +11,8 @@
 	"larchthread/internal/transport"
 )
 
-func fleetOf(n int) (hosts []inventory.Host) {
+// hostList returns an inventory of n cache hosts with distinct addresses.
+func hostList(n int) (hosts []inventory.Host) {
 	for i := range n {
 		hosts = append(hosts, inventory.Host{ID: fmt.Sprint("cache", i), Weight: 1,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(1 + i%250)}), 11211)})
@@ -19,7 +20,8 @@
 	return hosts
 }
 
-func handRouter() *Router {
+// inventoryRouter returns a router whose hosts come from SetInventory.
+func inventoryRouter() *Router {
 	loop, err := transport.NewLoop(256, 64<<20, slog.New(slog.DiscardHandler))
 	if err != nil {
 		panic(err)
@@ -30,13 +32,13 @@
 	return r
 }
 
-// Hosts of the first list are taken for warm. One that comes later, comes back, or has another address is cold; one that stays is as
-// it was.
+// Hosts of the first list count as warm. A host that is added later, returns or changes its address is cold;
+// the others keep their state.
 func Example_inventoryCold() {
-	r := handRouter()
-	put := func(hosts ...inventory.Host) {
+	r := inventoryRouter()
+	apply := func(hosts ...inventory.Host) {
 		r.SetInventory(hosts)
-		r.takeInventory()
+		r.applyInventory()
 		var cold []string
 		for _, h := range hosts {
 			if r.hosts.byID[h.ID].UpSince > 0 {
@@ -46,14 +48,14 @@
 		listed, _ := r.balancer.HostCounts()
 		fmt.Println(listed, "listed; cold:", cold)
 	}
-	f := fleetOf(3)
-	put(f[0], f[1])
-	put(f[0], f[1], f[2])
-	put(f[1], f[2])
-	put(f...)
+	f := hostList(3)
+	apply(f[0], f[1])
+	apply(f[0], f[1], f[2])
+	apply(f[1], f[2])
+	apply(f...)
 	f[1].Address = f[0].Address
 	f[0].Address = netip.MustParseAddrPort("10.9.9.9:1")
-	put(f...)
+	apply(f...)
 	// Output:
 	// 2 listed; cold: []
 	// 3 listed; cold: [cache2]
@@ -62,13 +64,14 @@
 	// 3 listed; cold: [cache0 cache1 cache2]
 }
 
+// BenchmarkSetInventory measures applying an inventory that gains or loses one host.
 func BenchmarkSetInventory(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, hosts := handRouter(), fleetOf(n+1)
+			r, hosts := inventoryRouter(), hostList(n+1)
 			for i := 0; b.Loop(); i++ {
 				r.SetInventory(hosts[:n+i%2])
-				r.takeInventory()
+				r.applyInventory()
 			}
 		})
 	}
--- a/internal/routing/link.go
+++ b/internal/routing/link.go
@@ -9,293 +9,301 @@
 	"larchthread/internal/transport"
 )
 
-// link is a connection to a host. It carries one push at a time, so that none has to wait for the answer
-// to another, and closing it calls off no other.
-type link struct {
-	router *Router
-	host   *host
-	conn   *transport.Conn
-	reader protocol.AnswerReader
-	push   *push
-	rest   protocol.ValueWriter // of the push's value
-	flow   *flow                // of the value that answers the push, or nil
-	kept   bool                 // it has carried a push before
-	early  bool                 // this one came so soon behind the last answer that another to that may still come
-	heard  bool                 // bytes have come since the push was written
-	coming transport.Timer      // until it has to be up
+// hostConn is a connection to a host. It carries one push at a time: pushes don't wait for each other's
+// answers, and closing the connection cancels no other push.
+type hostConn struct {
+	router       *Router
+	host         *host
+	conn         *transport.Conn
+	reader       protocol.AnswerReader
+	push         *push
+	unsentValue  protocol.ValueWriter // the part of the push's value that is not written yet
+	stream       *valueStream         // of the value that answers the push, or nil
+	reused       bool                 // it has carried a push before
+	reusedEarly  bool                 // the push was assigned within duplicateAnswerWindow of the previous answer
+	gotInput     bool                 // input has arrived since the push was assigned
+	connectTimer transport.Timer      // limits connecting
 }
 
-// link takes the connection used last, for the others may be idle too long, or opens one. To a host that has
-// fallen silent it always opens one: connections from before are dead where the host has vanished, and may
-// break under a push once it is back, so that nobody knows whether that ran. A new one tells soon.
+// acquireConn returns the idle connection that was used last, or opens a new one. For a host that has fallen
+// silent it always opens a new one: older connections may be dead, or break under a push without telling
+// whether it ran.
 //
-// A second answer to one push must not be taken for the answer to the next. Most tell what they answer; where one could not
-// be told, as those of a careful push can't, the connection has to have rested.
-func (h *host) link(r *Router, careful bool) *link {
+// A second answer to one push must not be taken for the answer to the next. Where the answers carry no id, as
+// those of the origin, or where the push must not be repeated, requireRest demands a connection that has been
+// idle for longer than duplicateAnswerWindow.
+func (h *host) acquireConn(r *Router, requireRest bool) *hostConn {
 	if h.silent {
-		h.hangUp(transport.HostSilent)
+		h.closeIdle(transport.HostSilent)
 	}
-	least := 0.0
-	if careful || h.IsOrigin {
-		least = secondFor
+	minRest := 0.0
+	if requireRest || h.IsOrigin {
+		minRest = duplicateAnswerWindow
 	}
-	if l := h.rested(r, least); l != nil {
-		return l
+	if hc := h.takeIdle(r, minRest); hc != nil {
+		return hc
 	}
-	l := &link{router: r, host: h}
+	hc := &hostConn{router: r, host: h}
 	kind := "host"
-	if l.reader = (&protocol.HostAnswerReader{}); h.IsOrigin {
-		kind, l.reader = "origin", protocol.NewOriginAnswerReader()
+	if hc.reader = (&protocol.HostAnswerReader{}); h.IsOrigin {
+		kind, hc.reader = "origin", protocol.NewOriginAnswerReader()
 	}
-	l.conn = r.loop.Dial(kind, h.address, l)
-	l.conn.BeforeWrite, l.conn.AfterWrite = l.prepare, l.wrote
-	l.conn.EvictionClass = func() transport.EvictionClass {
-		if l.push != nil && l.push.op.state == open { // a second push whose op has its answer makes room
+	hc.conn = r.loop.Dial(kind, h.address, hc)
+	hc.conn.BeforeWrite, hc.conn.AfterWrite = hc.beforeWrite, hc.afterWrite
+	hc.conn.EvictionClass = func() transport.EvictionClass {
+		if hc.push != nil && hc.push.op.state == opOpen { // a push whose op is already answered may be evicted
 			return transport.Needed
 		}
 		return transport.Idle
 	}
-	l.coming.Fire = l.late
-	r.loop.SetTimer(&l.coming, r.hosts.connectTimeout)
-	return l
+	hc.connectTimer.Fire = hc.onConnectTimeout
+	r.loop.SetTimer(&hc.connectTimer, r.hosts.connectTimeout)
+	return hc
 }
 
-// rested takes the connection used last of those that have rested for so long.
-func (h *host) rested(r *Router, least float64) *link {
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		l := h.idle[i]
-		rest := r.loop.Now() - l.conn.LastUsed
-		if rest <= least { // none: answered in this round, and more, or its end, may be right behind the answer
+// takeIdle removes and returns the idle connection that was used last among those idle for more than minRest
+// ms, or nil. It closes the connections it passes over that are too old or have unexpected input.
+func (h *host) takeIdle(r *Router, minRest float64) *hostConn {
+	for i := len(h.idleConns) - 1; i >= 0; i-- {
+		hc := h.idleConns[i]
+		idleTime := r.loop.Now() - hc.conn.LastUsed
+		if idleTime <= minRest { // also skips connections answered in this round: more input, or their end, may follow
 			continue
 		}
-		h.idle = slices.Delete(h.idle, i, i+1)
+		h.idleConns = slices.Delete(h.idleConns, i, i+1)
 		switch {
-		case rest >= r.hosts.idleTimeout*idleShare:
-			l.conn.Close(transport.IdleTimeout)
-		case l.conn.IsQuiet():
-			l.early = rest <= secondFor
-			return l
+		case idleTime >= r.hosts.idleTimeout*idleTimeoutShare:
+			hc.conn.Close(transport.IdleTimeout)
+		case hc.conn.IsQuiet():
+			hc.reusedEarly = idleTime <= duplicateAnswerWindow
+			return hc
 		default:
-			l.conn.Close(transport.UnexpectedInput)
+			hc.conn.Close(transport.UnexpectedInput)
 		}
 	}
 	return nil
 }
 
-// carry has a push written once the connection is up and this round's input has been heard.
-func (l *link) carry(p *push) {
-	l.push, p.link, l.heard = p, l, false
-	l.host.pushes = append(l.host.pushes, p)
-	l.conn.Flush()
+// assign gives the connection a push, which is written at the end of this round or once the connection is up.
+func (hc *hostConn) assign(p *push) {
+	hc.push, p.hostConn, hc.gotInput = p, hc, false
+	hc.host.pushes = append(hc.host.pushes, p)
+	hc.conn.Flush()
 }
 
-// prepare begins to write the push, if it has not been. Only now is it known how much time is left.
-func (l *link) prepare() {
-	p := l.push
-	if p == nil || p.state != waiting {
+// beforeWrite writes the assigned push, if that is still to be done. The remaining time is computed only now,
+// as late as possible.
+func (hc *hostConn) beforeWrite() {
+	p := hc.push
+	if p == nil || p.state != pushWaiting {
 		return
 	}
-	remaining, sending := p.split(l.router.loop.ReadClock())
-	if remaining < leastLeft {
-		p.callOff(transport.PushTimeout)
+	remaining, sending := p.splitTimeLeft(hc.router.loop.ReadClock())
+	if remaining < minRemaining {
+		p.cancel(transport.PushTimeout)
 		return
 	}
-	p.move(writing)
-	if f, ok := l.reader.(*protocol.OriginAnswerReader); ok {
+	p.setState(pushWriting)
+	if f, ok := hc.reader.(*protocol.OriginAnswerReader); ok {
 		f.IsWrite = p.op.command.Verb == protocol.Set
-		l.rest = protocol.WriteOriginRequest(&l.conn.Out, p.op.command, l.host.address.String(), int(remaining))
+		hc.unsentValue = protocol.WriteOriginRequest(&hc.conn.Out, p.op.command, hc.host.address.String(), int(remaining))
 	} else {
-		l.rest = protocol.WriteCommand(&l.conn.Out, p.op.command, int(remaining))
+		hc.unsentValue = protocol.WriteCommand(&hc.conn.Out, p.op.command, int(remaining))
 	}
 	if p.op.command.Verb == protocol.Set {
-		l.router.loop.SetTimer(&p.before, min(sending, p.SendBy-l.router.loop.Now()))
+		hc.router.loop.SetTimer(&p.writeTimer, min(sending, p.SendBy-hc.router.loop.Now()))
 	}
 }
 
-// wrote goes on with a long value, and counts a push once its last byte is written.
-func (l *link) wrote() {
-	p := l.push
+// afterWrite continues a large value, and counts a push once its last byte is written.
+func (hc *hostConn) afterWrite() {
+	p := hc.push
 	if p != nil {
-		p.went()
+		p.reportDispatch()
 	}
 	switch {
 	case p == nil:
-	case !l.rest.Done() && p.op.state != open: // the value is no more; half a command is of no use to the host
-		p.callOff(transport.Cancelled)
-	case l.conn.Out.Len() == 0 && l.rest.WriteNext(&l.conn.Out):
-	case !p.whole && p.sent():
-		p.whole = true
-		l.router.loop.StopTimer(&p.before)
-		l.router.counters.pushes++
+	case !hc.unsentValue.Done() && p.op.state != opOpen: // the value is freed, and a partial command is of no use to the host
+		p.cancel(transport.Cancelled)
+	case hc.conn.Out.Len() == 0 && hc.unsentValue.WriteNext(&hc.conn.Out):
+	case !p.fullyWritten && p.isSent():
+		p.fullyWritten = true
+		hc.router.loop.StopTimer(&p.writeTimer)
+		hc.router.counters.pushes++
 	}
 }
 
-// late gives up a connection that does not come up.
-func (l *link) late() {
-	if l.conn.IsOpen() || l.push == nil {
+// onConnectTimeout gives up a connection that has not been established in time.
+func (hc *hostConn) onConnectTimeout() {
+	if hc.conn.IsOpen() || hc.push == nil {
 		return
 	}
-	l.host.silent = true
-	l.fail(transport.ConnectTimeout, balance.ConnectFailed)
+	hc.host.silent = true
+	hc.fail(transport.ConnectTimeout, balance.ConnectFailed)
 }
 
-// fail closes the connection and ends the push on it.
-func (l *link) fail(why transport.Reason, o balance.Outcome) {
-	p := l.push
-	l.close(why)
+// fail closes the connection and ends its push with the given outcome.
+func (hc *hostConn) fail(reason transport.Reason, o balance.Outcome) {
+	p := hc.push
+	hc.close(reason)
 	if p != nil {
-		p.move(over)
-		l.router.ended(p, o)
+		p.setState(pushEnded)
+		hc.router.reportEnd(p, o)
 	}
 }
 
-func (l *link) close(why transport.Reason) {
-	l.router.loop.StopTimer(&l.coming)
-	if l.flow != nil {
-		l.flow.end()
+// close closes the connection and frees its buffers. It does not end the push.
+func (hc *hostConn) close(reason transport.Reason) {
+	hc.router.loop.StopTimer(&hc.connectTimer)
+	if hc.stream != nil {
+		hc.stream.release()
 	}
-	l.push, l.rest = nil, protocol.ValueWriter{}
-	l.reader.Free() // else the pool would count it as held for ever, and clients be closed for want of memory
-	l.host.idle = slices.DeleteFunc(l.host.idle, func(x *link) bool { return x == l })
-	l.conn.Close(why)
+	hc.push, hc.unsentValue = nil, protocol.ValueWriter{}
+	hc.reader.Free() // otherwise the pool would count these buffers as used forever
+	hc.host.idleConns = slices.DeleteFunc(hc.host.idleConns, func(x *hostConn) bool { return x == hc })
+	hc.conn.Close(reason)
 }
 
-// Received implements transport.Owner.
-func (l *link) Received(c *transport.Conn) {
+// Received implements transport.ConnHandler: it reads the answer to the push or continues its stream.
+func (hc *hostConn) Received(c *transport.Conn) {
 	switch {
-	case l.push == nil && c.In.Len() == 0: // a flow took what was read with it
+	case hc.push == nil && c.In.Len() == 0: // a stream has consumed this input already
 		return
-	case l.push == nil: // nothing was asked
-		l.close(transport.BadInput)
+	case hc.push == nil: // input without a request
+		hc.close(transport.BadInput)
 		return
-	case l.flow != nil:
-		l.flow.advance()
+	case hc.stream != nil:
+		hc.stream.advance()
 		return
 	}
-	l.heard = true
-	a, err := l.reader.Next(&c.In)
-	if err == nil && l.reader.BufferedBytes() > protocol.MaxBufferedValueBytes && l.router.loop.Pool.UsedBytes() > l.router.memory.bytes/2 {
-		err = errNoRoom
+	hc.gotInput = true
+	a, err := hc.reader.Next(&c.In)
+	if err == nil && hc.reader.BufferedBytes() > protocol.MaxBufferedValueBytes &&
+		hc.router.loop.Pool.UsedBytes() > hc.router.memory.limitBytes/2 {
+		err = errNoMemory
 	}
 	switch {
 	case err != nil:
-		l.router.log.Warn("answer not understood", "peer", l.host.Name, "error", err)
-		l.fail(transport.BadInput, balance.InvalidAnswer)
+		hc.router.log.Warn("invalid answer from host", "peer", hc.host.Name, "error", err)
+		hc.fail(transport.BadInput, balance.InvalidAnswer)
 	case a != nil:
-		l.answered(a)
+		hc.handleAnswer(a)
 	}
 }
 
-var errNoRoom = errors.New("a long body without a length, and no memory to hold it")
+// errNoMemory ends an answer of unknown length that takes too much of the buffers.
+var errNoMemory = errors.New("a long body without a length, and no memory to hold it")
 
-// Ended implements transport.Owner.
-func (l *link) Ended(c *transport.Conn, why transport.Reason) {
+// Ended implements transport.ConnHandler: it ends the push with an outcome that tells whether it may have run.
+func (hc *hostConn) Ended(c *transport.Conn, reason transport.Reason) {
 	switch {
-	case why == transport.Evicted && l.push != nil:
-		l.push.callOff(why)
+	case reason == transport.Evicted && hc.push != nil:
+		hc.push.cancel(reason)
 		return
-	case l.flow != nil:
-		l.flow.hostEnded(why)
+	case hc.stream != nil:
+		hc.stream.hostEnded(reason)
 		return
-	case why == transport.PeerClosed && l.push != nil:
-		if a := l.reader.Finish(); a != nil {
-			l.answered(a)
+	case reason == transport.PeerClosed && hc.push != nil:
+		if a := hc.reader.Finish(); a != nil {
+			hc.handleAnswer(a)
 			return
 		}
 	}
 	o := balance.ConnBroken
 	switch {
-	case why == transport.OutOfSockets:
+	case reason == transport.OutOfSockets:
 		o = balance.NotSent
-	case l.push != nil && !l.push.sent(): // its last byte was never written
+	case hc.push != nil && !hc.push.isSent(): // its last byte was never written
 		o = balance.ConnectFailed
-	case l.kept && !l.heard:
+	case hc.reused && !hc.gotInput:
 		o = balance.StaleConn
 	}
-	l.fail(why, o)
+	hc.fail(reason, o)
 }
 
-// answered takes the answer to the push.
-func (l *link) answered(a *protocol.Answer) {
-	p, op := l.push, l.push.op
-	sent := p.sent()
-	if !a.Matches(op.command) || !sent && a.Kind <= protocol.Miss { // none has an answer to what has not been said
+// handleAnswer takes the answer to the push: it ends the push, or starts to stream a large value.
+func (hc *hostConn) handleAnswer(a *protocol.Answer) {
+	p, op := hc.push, hc.push.op
+	sent := p.isSent()
+	if !a.Matches(op.command) || !sent && a.Kind <= protocol.Miss { // a command not sent in full can't have succeeded
 		a.Value.Free()
-		l.fail(transport.WrongAnswer, balance.InvalidAnswer)
+		hc.fail(transport.WrongAnswer, balance.InvalidAnswer)
 		return
 	}
-	l.host.silent, l.host.heard = false, l.router.loop.Now()
+	hc.host.silent, hc.host.lastAnswerAt = false, hc.router.loop.Now()
 	switch {
-	case a.Kind == protocol.Value && a.StreamSize > 0 && op.state == open && op.flow == nil:
-		l.begin(a)
+	case a.Kind == protocol.Value && a.StreamSize > 0 && op.state == opOpen && op.stream == nil:
+		hc.startStream(a)
 		return
-	case a.StreamSize > 0: // nobody wants it
-		p.callOff(transport.Cancelled)
+	case a.StreamSize > 0: // the op is already answered
+		p.cancel(transport.Cancelled)
 		return
 	}
-	p.move(over)
-	l.push = nil
-	o := outcomes[a.Kind]
+	p.setState(pushEnded)
+	hc.push = nil
+	o := outcomeByKind[a.Kind]
 	switch {
-	case o == balance.Overloaded && !l.kept && !l.host.IsOrigin && l.conn.IsAtEOF():
+	case o == balance.Overloaded && !hc.reused && !hc.host.IsOrigin && hc.conn.IsAtEOF():
 		o = balance.ConnLimited
-		l.close(transport.PeerTableFull)
-	case !sent: // the rest of the push would stand before the next
-		l.close(transport.EarlyAnswer)
-	case l.early && a.ID == "" && a.Kind != protocol.Value && a.Kind != protocol.Stored: // the push may be at work still
-		l.close(transport.WrongAnswer)
+		hc.close(transport.PeerTableFull)
+	case !sent: // the rest of the command would precede the next push
+		hc.close(transport.EarlyAnswer)
+	case hc.reusedEarly && a.ID == "" && a.Kind != protocol.Value && a.Kind != protocol.Stored: // it may answer the previous push
+		hc.close(transport.WrongAnswer)
 	default:
-		l.spare(a.Close)
+		hc.keepIdle(a.Close)
 	}
 	if a.Kind == protocol.Value || a.Kind == protocol.Stored {
-		if op.state == open && op.flow == nil {
-			l.router.counters.byCategory[op.Category].Acked++
-			protocol.WriteAnswer(op.out(), op.command, a)
-			op.client.answer(op)
+		if op.state == opOpen && op.stream == nil {
+			hc.router.counters.byCategory[op.Category].Acked++
+			protocol.WriteAnswer(op.output(), op.command, a)
+			op.client.completeOp(op)
 		}
 		a.Value.Free()
 	}
 	if a.ErrorText != "" {
-		l.router.log.Warn("host complains", "peer", l.host.Name, "op", op.command.ID, "answer", a.ErrorText)
+		hc.router.log.Warn("host reported an error", "peer", hc.host.Name, "op", op.command.ID, "answer", a.ErrorText)
 	}
-	l.router.ended(p, o, a.Load...)
+	hc.router.reportEnd(p, o, a.Load...)
 }
 
-// spare keeps the connection for the next push, if it is good for one.
-func (l *link) spare(last bool) {
-	l.kept = true
-	l.conn.LastUsed = l.router.loop.Now()
+// keepIdle keeps the connection for another push, or closes it if it is not reusable. closeConn tells that the
+// host asked for it to be closed.
+func (hc *hostConn) keepIdle(closeConn bool) {
+	hc.reused = true
+	hc.conn.LastUsed = hc.router.loop.Now()
 	switch {
-	case l.conn.In.Len() > 0: // more than was asked for: it would be taken for the next op's answer
-		l.close(transport.BadInput)
-	case last:
-		l.close(transport.CloseRequested)
-	case !l.host.Usable() || l.conn.Peer() != l.host.address:
-		l.close(transport.HostGone)
+	case hc.conn.In.Len() > 0: // unrequested input would be taken for the next answer
+		hc.close(transport.BadInput)
+	case closeConn:
+		hc.close(transport.CloseRequested)
+	case !hc.host.Usable() || hc.conn.Peer() != hc.host.address:
+		hc.close(transport.HostGone)
 	default:
-		l.host.idle = append(l.host.idle, l)
+		hc.host.idleConns = append(hc.host.idleConns, hc)
 	}
 }
 
-var outcomes = map[protocol.AnswerKind]balance.Outcome{protocol.Value: balance.Served, protocol.Stored: balance.Served,
+// outcomeByKind maps the kinds of answers to outcomes of pushes.
+var outcomeByKind = map[protocol.AnswerKind]balance.Outcome{protocol.Value: balance.Served, protocol.Stored: balance.Served,
 	protocol.Miss: balance.CacheMiss, protocol.Busy: balance.Overloaded, protocol.Failure: balance.Failed,
 	protocol.ClientError: balance.InvalidOp}
 
-// hangUp closes the connections that carry nothing.
-func (h *host) hangUp(why transport.Reason) {
-	for _, l := range h.idle {
-		l.conn.Close(why)
+// closeIdle closes the idle connections.
+func (h *host) closeIdle(reason transport.Reason) {
+	for _, hc := range h.idleConns {
+		hc.conn.Close(reason)
 	}
-	h.idle = nil
+	h.idleConns = nil
 }
 
-// leave closes the connections to a host that nothing more is to be sent to, but for those on which a push has begun to be
-// written: a connection that is still coming up may be up after any grace.
-func (h *host) leave() {
-	h.hangUp(transport.HostGone)
+// withdraw stops using a host: it closes its idle connections and cancels the pushes that have not begun to be
+// written. The others may complete.
+func (h *host) withdraw() {
+	h.closeIdle(transport.HostGone)
 	for _, p := range slices.Clone(h.pushes) {
-		if p.state == waiting {
-			p.callOff(transport.HostGone)
+		if p.state == pushWaiting {
+			p.cancel(transport.HostGone)
 		}
 	}
 }
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -7,79 +7,80 @@
 	"larchthread/internal/transport"
 )
 
-// memoryBudget is how many bytes buffers may take, and what of it is reserved for long values of writes.
+// memoryBudget limits the bytes in buffers and reserves part of them for large values of writes.
 type memoryBudget struct {
-	pool     *transport.Pool
-	alone    int       // bytes where this is the instance's only process
-	bytes    int       // bytes now
-	reserved int       // bytes for long values of writes
-	waiting  []*client // those whose long value has no room yet, first come first
+	pool       *transport.Pool
+	soleBytes  int       // limit while this is the only process of the instance
+	limitBytes int       // current limit
+	reserved   int       // for large values of writes
+	waiting    []*client // clients without a reservation, in order of arrival
 }
 
-// newMemoryBudget gives buffers so many bytes.
+// newMemoryBudget limits the pool to that many bytes.
 func newMemoryBudget(pool *transport.Pool, bytes int) memoryBudget {
-	m := memoryBudget{pool: pool, alone: bytes}
-	m.share(false)
+	m := memoryBudget{pool: pool, soleBytes: bytes}
+	m.setShared(false)
 	return m
 }
 
-// share leaves half of the bytes to another process of the instance, or takes them back.
-func (m *memoryBudget) share(withOther bool) {
-	m.bytes = m.alone
+// setShared halves the limit while another process of the instance runs, or restores it.
+func (m *memoryBudget) setShared(withOther bool) {
+	m.limitBytes = m.soleBytes
 	if withOther {
-		m.bytes /= 2
+		m.limitBytes /= 2
 	}
-	m.pool.MaxBytes = m.bytes
+	m.pool.MaxBytes = m.limitBytes
 }
 
-// reserve sees to it that there is room for the long value that is on its way, and tells whether it may be read. Where
-// there is none, it waits behind those that wait already: half-read values would otherwise wait for each other.
-func (c *client) reserve() bool {
-	n := c.commands.PendingValueBytes()
-	if n <= protocol.MaxBufferedValueBytes || c.bulk > 0 || c.conn.In.Len() <= protocol.MaxBufferedValueBytes { // a length alone reserves nothing
+// reserveMemory reports whether the client's input may be read on. For a large value it first reserves memory;
+// if there is too little, the client waits in line, since partly read values could otherwise block each other.
+func (c *client) reserveMemory() bool {
+	n := c.decoder.PendingValueBytes()
+	if n <= protocol.MaxBufferedValueBytes || c.reservedBytes > 0 ||
+		c.conn.In.Len() <= protocol.MaxBufferedValueBytes { // a declared length alone reserves nothing
 		return true
 	}
-	if !c.queued {
-		c.router.memory.queue(c)
+	if !c.awaitsMemory {
+		c.router.memory.enqueue(c)
 	}
-	return !c.queued
+	return !c.awaitsMemory
 }
 
-// queue has a client wait for room for its long value.
-func (m *memoryBudget) queue(c *client) {
-	c.queued = true
+// enqueue lets a client wait for a reservation.
+func (m *memoryBudget) enqueue(c *client) {
+	c.awaitsMemory = true
 	m.waiting = append(m.waiting, c)
 	m.admit()
 }
 
-// withdraw has a client wait no longer.
-func (m *memoryBudget) withdraw(c *client) {
-	if !c.queued {
+// dequeue removes a client from the waiting line.
+func (m *memoryBudget) dequeue(c *client) {
+	if !c.awaitsMemory {
 		return
 	}
-	c.queued = false
+	c.awaitsMemory = false
 	m.waiting = slices.DeleteFunc(m.waiting, func(x *client) bool { return x == c })
-	m.admit() // the next may fit
+	m.admit() // the next one may fit
 }
 
-// admit lets those that wait for room read, in their order. One alone may always: the largest value may be more than the
-// part of the buffers that is for such.
+// admit grants reservations in order of arrival while there is room. A single one is always granted, as the
+// largest value may exceed the share for large values.
 func (m *memoryBudget) admit() {
 	for len(m.waiting) > 0 {
 		c := m.waiting[0]
-		n := c.commands.PendingValueBytes()
-		if m.reserved > 0 && float64(m.reserved+n) > float64(m.bytes)*bulkShare {
+		n := c.decoder.PendingValueBytes()
+		if m.reserved > 0 && float64(m.reserved+n) > float64(m.limitBytes)*largeWriteShare {
 			return
 		}
 		m.waiting = m.waiting[1:]
 		m.reserved += n
-		c.bulk, c.queued = n, false
+		c.reservedBytes, c.awaitsMemory = n, false
 		c.conn.SetPaused(false)
-		c.attend(true)
+		c.updateTimer(true)
 	}
 }
 
-// release gives back what was reserved for a long value.
+// release returns *n reserved bytes and sets *n to 0.
 func (m *memoryBudget) release(n *int) {
 	if *n > 0 {
 		m.reserved -= *n
@@ -88,32 +89,32 @@
 	}
 }
 
-// idleBytes is how much a client holds that nothing here can move on: answers that it does not take, or a command
-// of which the rest has not come, so that it is not taken yet.
-func (c *client) idleBytes() int {
+// stalledBytes returns the buffered bytes that only the client can release: unread answers, and input of an
+// incomplete command.
+func (c *client) stalledBytes() int {
 	n := c.conn.Out.Len()
-	if len(c.line) == 0 {
+	if len(c.pipeline) == 0 {
 		n += c.conn.In.Len()
 	}
 	return n
 }
 
-// spare closes the clients that hold the most where buffers run short: over the limit of memory all would be lost.
-func (r *Router) spare() {
+// evictForMemory closes the clients that hold the most stalled bytes while the buffer limit is exceeded.
+func (r *Router) evictForMemory() {
 	for r.loop.Pool.IsFull() {
 		var worst *client
 		for _, c := range r.clients.all {
-			if n := c.idleBytes(); n > 0 && (worst == nil || n > worst.idleBytes()) {
+			if n := c.stalledBytes(); n > 0 && (worst == nil || n > worst.stalledBytes()) {
 				worst = c
 			}
 		}
 		if worst == nil {
 			return
 		}
-		why := transport.SlowReader
+		reason := transport.SlowReader
 		if worst.conn.Out.Len() == 0 {
-			why = transport.IncompleteCommand
+			reason = transport.IncompleteCommand
 		}
-		worst.cut(why)
+		worst.closeNow(reason)
 	}
 }
--- a/internal/routing/port.go
+++ b/internal/routing/port.go
@@ -8,71 +8,72 @@
 	"larchthread/internal/transport"
 )
 
-// Push implements balance.Port, as do the methods below.
+// Push implements balance.Port: it sends a push to its host and gives it up after limit ms. The methods below
+// implement balance.Port too.
 func (r *Router) Push(b *balance.Push, limit float64) {
 	now := r.loop.Now()
-	p := &push{Push: b, router: r, op: b.Op.Ref.(*op), began: now, until: now + limit}
+	p := &push{Push: b, router: r, op: b.Op.Ref.(*op), startedAt: now, expiresAt: now + limit}
 	b.Ref = p
-	if p.left(now) < leastLeft {
-		p.end(balance.NotSent)
+	if p.timeLeft(now) < minRemaining {
+		p.endNextRound(balance.NotSent)
 		return
 	}
-	p.limit.Fire, p.before.Fire = p.late, p.withdraw
-	r.loop.SetTimer(&p.limit, limit)
+	p.expiryTimer.Fire, p.writeTimer.Fire = p.onExpiry, p.cancelUnsent
+	r.loop.SetTimer(&p.expiryTimer, limit)
 	p.op.pushes = append(p.op.pushes, p)
-	b.Host.Ref.(*host).link(r, b.Op.Category.Repeat != balance.Redeliverable).carry(p)
-	if !p.link.conn.IsOpen() { // else it goes out with this round
-		r.loop.SetTimer(&p.before, b.SendBy-now)
+	b.Host.Ref.(*host).acquireConn(r, b.Op.Category.Repeat != balance.Redeliverable).assign(p)
+	if !p.hostConn.conn.IsOpen() { // otherwise it is written at the end of this round
+		r.loop.SetTimer(&p.writeTimer, b.SendBy-now)
 	}
 }
 
-// Cancel calls a push off by closing its connection.
+// Cancel cancels a push by closing its connection.
 func (r *Router) Cancel(b *balance.Push) {
-	if p := b.Ref.(*push); p.state != over {
-		p.unheard()
-		p.callOff(transport.Cancelled)
+	if p := b.Ref.(*push); p.state != pushEnded {
+		p.noteSilence()
+		p.cancel(transport.Cancelled)
 	}
 }
 
-// Nack answers an op with a nack.
+// Nack answers an op with a nack and a backoff in ms.
 func (r *Router) Nack(o *balance.Op, backoff float64) {
 	op := o.Ref.(*op)
 	r.counters.byCategory[op.Category].Nacked++
-	protocol.WriteNack(op.out(), backoff)
-	op.client.answer(op)
+	protocol.WriteNack(op.output(), backoff)
+	op.client.completeOp(op)
 }
 
-// DeadLetter answers an op with a dead letter.
+// DeadLetter answers an op as dead-lettered.
 func (r *Router) DeadLetter(o *balance.Op) {
 	op := o.Ref.(*op)
 	r.counters.byCategory[op.Category].DeadLettered++
-	protocol.WriteDeadLetter(op.out())
-	op.client.answer(op)
+	protocol.WriteDeadLetter(op.output())
+	op.client.completeOp(op)
 }
 
-// SetTimer has the balancer woken after that many ms.
-func (r *Router) SetTimer(after float64) { r.loop.SetTimer(&r.wake, after) }
+// SetTimer calls the balancer's TimerFired after that many ms. It replaces an earlier setting.
+func (r *Router) SetTimer(after float64) { r.loop.SetTimer(&r.wakeTimer, after) }
 
-// SubscribeHostList begins a new watch on discovery's list.
-func (r *Router) SubscribeHostList() { r.watch.begin() }
+// SubscribeHostList starts a new watch on discovery's host list.
+func (r *Router) SubscribeHostList() { r.watch.restart() }
 
 // CloseIdleConns closes the idle connections to a host.
-func (r *Router) CloseIdleConns(h *balance.Host) { h.Ref.(*host).hangUp(transport.IdleReleased) }
+func (r *Router) CloseIdleConns(h *balance.Host) { h.Ref.(*host).closeIdle(transport.IdleReleased) }
 
-// ended tells the balancer how a push ended, and what its host told of its load, if anything.
-func (r *Router) ended(p *push, o balance.Outcome, load ...protocol.Attr) {
+// reportEnd tells the balancer the outcome of a push, its duration and the load that its host reported, if any.
+func (r *Router) reportEnd(p *push, o balance.Outcome, load ...protocol.Attr) {
 	var report *balance.LoadReport
 	for _, a := range load {
 		if v, err := strconv.ParseFloat(a.Value, 64); err == nil {
 			report = r.configuration.params.ApplyReportValue(report, a.Name, v)
 		}
 	}
-	spent := r.loop.Now() - p.began
+	duration := r.loop.Now() - p.startedAt
 	switch {
-	case p.took > 0: // a long value counts by its first bytes
-		spent = p.took
+	case p.firstByteAfter > 0: // a streamed answer counts until its first bytes
+		duration = p.firstByteAfter
 	case o == balance.Served || o == balance.CacheMiss:
-		spent = max(0, r.loop.EarliestArrival()-p.began)
+		duration = max(0, r.loop.EarliestArrival()-p.startedAt)
 	}
-	r.balancer.PushEnded(p.Push, o, spent, p.op.state != open, report)
+	r.balancer.PushEnded(p.Push, o, duration, p.op.state != opOpen, report)
 }
--- a/internal/routing/push.go
+++ b/internal/routing/push.go
@@ -7,106 +7,107 @@
 	"larchthread/internal/transport"
 )
 
-// pushState is how far a push has come.
+// pushState is the progress of a push. The states are in order.
 type pushState uint8
 
 const (
-	waiting pushState = iota // its connection is to be written to, or is still coming up
-	writing                  // its command has begun to be written, and may be out whole
-	flowing                  // the value that answers it is being passed on
-	over                     // answered, given up, called off, or its connection is gone
+	pushWaiting   pushState = iota // not written yet; the connection may still be coming up
+	pushWriting                    // its command is being written, or is written in full
+	pushStreaming                  // the value that answers it is being forwarded
+	pushEnded                      // answered, given up or cancelled, or its connection failed
 )
 
-// push is one attempt at an op.
+// push is one attempt to have a host serve an op.
 type push struct {
 	*balance.Push
-	router  *Router
-	op      *op
-	link    *link
-	began   float64 // ms, when it was written, or the connection for it was begun to be made
-	until   float64 // ms, when the balancer gives it up
-	limit   transport.Timer
-	before  transport.Timer // until its last byte has to be written
-	state   pushState
-	gone    bool            // it has left this process, or its connection is being made
-	whole   bool            // its last byte has been written
-	took    float64         // ms until its answer began to flow
-	outcome balance.Outcome // of one called off
+	router         *Router
+	op             *op
+	hostConn       *hostConn
+	startedAt      float64 // ms; when it was written or, on a new connection, when connecting began
+	expiresAt      float64 // ms; when the balancer gives it up
+	expiryTimer    transport.Timer
+	writeTimer     transport.Timer // limits writing its last byte
+	state          pushState
+	dispatched     bool            // it has begun to be written, or its connection to be established
+	fullyWritten   bool            // its last byte has been written
+	firstByteAfter float64         // ms until its answer began to arrive; set only for streamed answers
+	outcome        balance.Outcome // of a cancelled push
 }
 
-// move is the one place where a push changes its state.
-func (p *push) move(to pushState) {
-	if p.state == over {
+// setState is the only place that changes the push's state. A push that has ended stays ended.
+func (p *push) setState(to pushState) {
+	if p.state == pushEnded {
 		return
 	}
 	p.state = to
-	if to >= flowing {
-		p.router.loop.StopTimer(&p.limit)
+	if to >= pushStreaming {
+		p.router.loop.StopTimer(&p.expiryTimer)
 	}
-	if to == over {
-		p.router.loop.StopTimer(&p.before)
+	if to == pushEnded {
+		p.router.loop.StopTimer(&p.writeTimer)
 		own := func(x *push) bool { return x == p }
 		p.op.pushes = slices.DeleteFunc(p.op.pushes, own)
-		if p.link != nil {
-			p.link.host.pushes = slices.DeleteFunc(p.link.host.pushes, own)
+		if p.hostConn != nil {
+			p.hostConn.host.pushes = slices.DeleteFunc(p.hostConn.host.pushes, own)
 		}
 	}
 }
 
-// withdraw calls off a push that has not been written whole: it never runs.
-func (p *push) withdraw() {
-	if p.state < flowing && !p.sent() {
-		p.callOff(transport.Cancelled)
+// cancelUnsent cancels a push that has not been written in full; such a push never runs.
+func (p *push) cancelUnsent() {
+	if p.state < pushStreaming && !p.isSent() {
+		p.cancel(transport.Cancelled)
 	}
 }
 
-// sent tells whether the last byte has been written: from then on the push may have run.
-func (p *push) sent() bool {
-	return p.state != waiting && p.link.rest.Done() && p.link.conn.Out.Len() == 0
+// isSent reports whether the last byte has been written: from then on the push may have run.
+func (p *push) isSent() bool {
+	return p.state != pushWaiting && p.hostConn.unsentValue.Done() && p.hostConn.conn.Out.Len() == 0
 }
 
-// unheard takes note of a push given up at a host that has answered nothing since it began. One called off sooner than a
-// connection may take to come up, as where its client went away, says nothing of the host.
-func (p *push) unheard() {
-	h := p.link.host
-	h.silent = h.silent || h.heard < p.began && p.router.loop.Now()-p.began > p.router.hosts.connectTimeout
+// noteSilence marks the host as silent if it has answered nothing since this push began. A push that was given
+// up sooner than the connect timeout says nothing about the host.
+func (p *push) noteSilence() {
+	h := p.hostConn.host
+	h.silent = h.silent || h.lastAnswerAt < p.startedAt && p.router.loop.Now()-p.startedAt > p.router.hosts.connectTimeout
 }
 
-// callOff ends a push by closing its connection.
-func (p *push) callOff(why transport.Reason) {
+// cancel ends a push by closing its connection. The balancer learns of it in the next round.
+func (p *push) cancel(reason transport.Reason) {
 	outcome := balance.Cancelled
-	if !p.sent() {
+	if !p.isSent() {
 		outcome = balance.NotSent
 	}
-	p.end(outcome)
-	p.link.close(why)
+	p.endNextRound(outcome)
+	p.hostConn.close(reason)
 }
 
-// end ends a push that no connection carries. The balancer hears of it in the next round.
-func (p *push) end(outcome balance.Outcome) {
+// endNextRound ends a push without closing a connection. Its outcome is reported to the balancer in the next
+// round.
+func (p *push) endNextRound(outcome balance.Outcome) {
 	p.outcome = outcome
-	p.move(over)
-	p.router.calledOff = append(p.router.calledOff, p)
+	p.setState(pushEnded)
+	p.router.cancelledPushes = append(p.router.cancelledPushes, p)
 	p.router.loop.SkipWait()
 }
 
-// late gives up a push whose time is over.
-func (p *push) late() {
+// onExpiry gives up a push whose time is over.
+func (p *push) onExpiry() {
 	outcome := balance.TimedOut
-	if !p.sent() {
+	if !p.isSent() {
 		outcome = balance.ConnectFailed
 	}
-	p.unheard()
-	p.link.fail(transport.PushTimeout, outcome)
+	p.noteSilence()
+	p.hostConn.fail(transport.PushTimeout, outcome)
 }
 
-// went tells the balancer how long a push had to wait for this process: its host's time begins when it is written, or with
-// the connection for it.
-func (p *push) went() {
-	if !p.gone {
-		p.gone = true
+// reportDispatch tells the balancer how long the push waited in this process, and restarts the push's clock:
+// the host's time begins once it is written or connecting begins.
+func (p *push) reportDispatch() {
+	if !p.dispatched {
+		p.dispatched = true
 		now := p.router.loop.ReadClock()
-		p.router.balancer.PushStarted(p.Push, now-p.began, !p.link.kept)
-		p.began = now
+		p.router.balancer.PushStarted(p.Push, now-p.startedAt, !p.hostConn.reused)
+		p.startedAt = now
 	}
 }
--- a/internal/routing/reload.go
+++ b/internal/routing/reload.go
@@ -8,29 +8,29 @@
 	"larchthread/internal/transport"
 )
 
-// configuration is what the instance was told, and goes by until it ends.
+// configuration holds the settings in force. Except for discovery's address they stay until the process ends.
 type configuration struct {
 	params     params.Params
 	categories map[string]*balance.Category
-	reread     atomic.Pointer[params.StartFile] // a start file that was read anew, still to be heeded
+	pending    atomic.Pointer[params.StartFile] // newly read start file that is not applied yet
 }
 
-// Reload takes a configuration that was read anew. It may be called from any goroutine.
+// Reload applies a newly read start file in the next round. It may be called from any goroutine.
 func (r *Router) Reload(startFile *params.StartFile) {
-	r.configuration.reread.Store(startFile)
+	r.configuration.pending.Store(startFile)
 	r.loop.Wake()
 }
 
-// reload moves the watch to where the new configuration says. The list, the ops and all other connections stay;
-// what else has changed counts from the next start.
-func (r *Router) reload() {
-	startFile := r.configuration.reread.Swap(nil)
+// applyReload moves the watch to the configured discovery address. The host list, ops and other connections
+// stay. Other settings take effect at the next start.
+func (r *Router) applyReload() {
+	startFile := r.configuration.pending.Swap(nil)
 	if startFile == nil {
 		return
 	}
 	r.log.Info("configuration read anew", "discovery", startFile.Discovery.String())
 	if startFile.Discovery != r.watch.address && !r.inventory.inUse {
-		r.watch.end(transport.WatchMoved)
+		r.watch.close(transport.WatchMoved)
 		r.watch.address = startFile.Discovery
 		r.balancer.HostListMoved()
 	}
--- a/internal/routing/remaining.go
+++ b/internal/routing/remaining.go
@@ -1,20 +1,20 @@
 package routing
 
 const (
-	leastLeft    = 1.0      // ms that a push needs: what it tells is whole ms, and 0 would be none
-	atOnceMost   = 16 << 10 // bytes of a value that the kernel takes whole on a quiet connection, whatever the network
-	sendingShare = 0.5      // part of the time left in which a longer value has to be out
+	minRemaining        = 1.0      // ms; the time is sent in whole ms, and 0 means none
+	immediateWriteBytes = 16 << 10 // largest value that the kernel takes at once on an idle connection
+	sendingShare        = 0.5      // share of the time left that is granted for writing a larger value
 )
 
-// left is for how many ms from now on the answer to a push is waited for, by its client and by the balancer.
-func (p *push) left(now float64) float64 { return min(p.until, p.op.deadline) - now }
+// timeLeft returns for how many ms both the client and the balancer still wait for the answer.
+func (p *push) timeLeft(now float64) float64 { return min(p.expiresAt, p.op.deadline) - now }
 
-// split divides the time that is left to a push that begins to be written now. Its server is told what remains once the last
-// byte is out, as it begins then; sending is how long that may take. A short command is out at once. A long value goes out
-// as fast as the network and its server take it, which nobody knows yet.
-func (p *push) split(now float64) (remaining, sending float64) {
-	left := p.left(now)
-	if p.op.command.Value.Len() <= atOnceMost {
+// splitTimeLeft divides the time left, in ms, into remaining, which the host is told, and sending, in which the
+// command has to be written. Small commands are written at once, so both get all of it; for larger ones the
+// time is shared, as the throughput is not known.
+func (p *push) splitTimeLeft(now float64) (remaining, sending float64) {
+	left := p.timeLeft(now)
+	if p.op.command.Value.Len() <= immediateWriteBytes {
 		return left, left
 	}
 	sending = left * sendingShare
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,8 @@
-// Package routing carries ops between clients and cache hosts over connections. It makes no decision: each
-// thing that happens on a connection becomes a call on the balancer, and the balancer's calls on its port
-// become bytes on connections.
+// Package routing carries ops between clients and cache hosts. It makes no routing decisions: events on
+// connections become calls on the balancer, and the balancer's calls on its Port become bytes on connections.
+//
+// Everything here runs on the event loop's goroutine, except where a method says otherwise. Times and durations
+// are float64 milliseconds; times are Unix time.
 package routing
 
 import (
@@ -17,68 +19,69 @@
 )
 
 const (
-	secondFor   = 20.0     // ms behind an answer in which another to the same push may come: some ms
-	idleShare   = 0.9      // part of the time that hosts keep idle connections for which they are used: a push takes a while to arrive
-	connectFor  = 250.0    // ms in which a connection has to come up where the start does not say: some round trips, one lost packet
-	memoryShare = 0.4      // part of the memory that buffers may take; the rest is the heap's and its collector's
-	lineMost    = 256      // commands of one connection without an answer at which reading stops: well over what a client needs
-	shortMost   = 1 << 10  // bytes of an answer that waits for its turn without a buffer of its own
-	replyMost   = 1 << 20  // bytes of answers not taken at which reading stops: a dozen of the largest
-	flowMost    = 64 << 10 // bytes of a long value that wait for the client: what a short one may have
-	bulkShare   = 0.5      // part of the buffers that long values of writes may take together
-	restFor     = 2600.0   // ms for the rest of a command, or the first op of a connection: a slow client takes 2 s for a head
-	restShare   = 6        // one in so many sockets may be a client's with nothing open: clients hold a third in all
-	heardFor    = 10.0     // ms for what has come to be heard, before an end for silence is looked at again: some rounds
-	idleFor     = 2100.0   // ms that a client's connection with nothing open is kept: it may be closed after 2 s
-	pastMost    = 4096     // ids of hosts no longer known that operators may still name: some days of replacements, in little memory
-	goneFor     = 20000.0  // ms that a host is known after it has gone: a list that forgets one by mistake has it back by then
-	stuckFor    = 5000.0   // ms without progress after which a half command or answer counts as abandoned: over any TTL
+	duplicateAnswerWindow = 20.0     // ms after an answer within which a second answer to the same push may arrive
+	idleTimeoutShare      = 0.9      // share of the hosts' idle timeout for which connections are reused
+	defaultConnectTimeout = 250.0    // ms; applies where the start file sets no connect timeout
+	bufferMemoryShare     = 0.4      // share of memory for buffers; the heap and the garbage collector use the rest
+	maxPipelinedCommands  = 256      // unanswered commands on a connection at which reading from it stops
+	maxUnpooledBytes      = 1 << 10  // bytes of a queued answer that are copied out of its pooled buffer
+	maxUnsentBytes        = 1 << 20  // unsent answer bytes at which reading from a client stops
+	streamWindowBytes     = 64 << 10 // bytes of a streamed value that are buffered for the client
+	largeWriteShare       = 0.5      // share of the buffers that large values of writes may take together
+	commandTimeout        = 2600.0   // ms for the rest of a command, or for the first op on a connection
+	idleClientDivisor     = 6        // at most 1 in 6 sockets may belong to idle clients
+	pendingInputGrace     = 10.0     // ms to deliver input that is already pending before a timeout is checked again
+	clientIdleTimeout     = 2100.0   // ms that an idle client connection is kept; clients expect at least 2 s
+	maxPastHosts          = 4096     // ids of former hosts that operators may still name
+	goneHostRetention     = 20000.0  // ms that a removed host is remembered, in case a list dropped it by mistake
+	progressTimeout       = 5000.0   // ms without progress after which an exchange is abandoned; longer than any TTL
 
-	watchFirst = 1      // ms that the first call of a watch waits: its answer tells that the watch stands
-	watchWait  = 2000   // ms that each further call waits: going on costs discovery little, and a dead one shows
-	watchSlack = 1000.0 // ms beyond that until the call counts as lost: answers that are due come at once
-	wholePause = 4000.0 // ms between two calls for the whole list: what it would tell counts as told after 6 s
+	firstWatchWait   = 1      // ms that the first request of a watch waits: its answer confirms the watch
+	watchWait        = 2000   // ms that each later request waits
+	watchSlack       = 1000.0 // ms beyond the wait until a request counts as lost
+	fullListInterval = 4000.0 // ms between two requests for the full list
 
-	shutdownLinger = 450.0 // ms for which connections stay open after the word to stop: new ones still come
-	shutdownSweep  = 10.0  // ms between two looks for connections to close: a small part of what is left
-	shutdownGrace  = 100.0 // ms that a new connection is left open for its first command to come: many round trips
-	shutdownTake   = 600.0 // ms from which ops are nacked: the end may be forced 700 ms behind the longest TTL
-	shutdownLast   = 250.0 // ms after the last client until the end, for the sockets to be closed in good order
+	shutdownLinger            = 450.0 // ms after the shutdown request for which connections stay open: new ones may still arrive
+	shutdownSweepInterval     = 10.0  // ms between two passes over the connections to close
+	shutdownFirstCommandGrace = 100.0 // ms that a new connection stays open to deliver its first command
+	shutdownNackAfter         = 600.0 // ms after which new ops are nacked
+	shutdownCloseGrace        = 250.0 // ms between the last client's end and exit, so that sockets close in order
 )
 
-// Router is the front of one balancer, and its port. It joins parts that have one job each.
+// Router connects one balancer to its clients and hosts. It implements balance.Port.
 type Router struct {
-	loop          *transport.Loop
-	log           *slog.Logger
-	balancer      *balance.Balancer
-	configuration configuration
-	clients       clientSide
-	hosts         hostPool
-	memory        memoryBudget
-	counters      counters
-	watch         watch
-	inventory     inventoryState
-	handOver      handOver
-	shutdown      shutdown
-	wake          transport.Timer // the balancer's
-	calledOff     []*push         // of which the balancer has still to hear
+	loop            *transport.Loop
+	log             *slog.Logger
+	balancer        *balance.Balancer
+	configuration   configuration
+	clients         clientRegistry
+	hosts           hostPool
+	memory          memoryBudget
+	counters        counters
+	watch           watch
+	inventory       inventoryState
+	handOver        handOver
+	shutdown        shutdown
+	wakeTimer       transport.Timer // set by the balancer through SetTimer
+	cancelledPushes []*push         // not yet reported to the balancer
 }
 
-// New makes the front of a balancer that has been told so much, and starts the balancer. It does not listen yet. A
-// list by hand comes by TakeInventory, and discovery is not asked.
-func New(loop *transport.Loop, log *slog.Logger, startFile *params.StartFile, byHand bool) (*Router, error) {
+// New creates a Router and starts its balancer with the given start file. The Router does not listen yet. With
+// useInventory, hosts come from SetInventory and discovery is not queried. New returns an error if the start
+// file's known hosts can't be decoded.
+func New(loop *transport.Loop, log *slog.Logger, startFile *params.StartFile, useInventory bool) (*Router, error) {
 	r := &Router{
 		loop:          loop,
 		log:           log,
 		configuration: configuration{params: startFile.Params},
-		inventory:     inventoryState{inUse: byHand},
-		memory:        newMemoryBudget(loop.Pool, int(startFile.MemoryMB*memoryShare*(1<<20))),
-		clients:       newClientSide(startFile.Sockets / restShare),
+		inventory:     inventoryState{inUse: useInventory},
+		memory:        newMemoryBudget(loop.Pool, int(startFile.MemoryMB*bufferMemoryShare*(1<<20))),
+		clients:       newClientRegistry(startFile.Sockets / idleClientDivisor),
 		hosts:         newHostPool(startFile.Params.Limits.Connect / 1000),
 	}
 	r.watch = watch{router: r, address: startFile.Discovery}
-	r.watch.limit.Fire = r.watch.overdue
-	r.wake.Fire = func() { r.balancer.TimerFired() }
+	r.watch.callTimer.Fire = r.watch.onTimeout
+	r.wakeTimer.Fire = func() { r.balancer.TimerFired() }
 	r.shutdown.timer.Fire = r.sweep
 	var known protocol.HostList
 	if len(startFile.KnownHosts) > 0 && string(startFile.KnownHosts) != "null" {
@@ -86,45 +89,47 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	var begin balance.Config
-	begin, r.configuration.categories, _ = startFile.Params.ForBalancer(startFile.Seed)
-	begin.ListOnRequest = !byHand // also where lists are pushed: only to those who watch
+	var config balance.Config
+	config, r.configuration.categories, _ = startFile.Params.ForBalancer(startFile.Seed)
+	config.ListOnRequest = !useInventory // discovery pushes lists only to those who request them first
 	r.counters = newCounters()
 	for _, c := range startFile.Params.Categories {
 		r.counters.add(c.Name, r.configuration.categories[c.Name])
 	}
-	r.hosts.idleTimeout = begin.ConnIdleTimeout
+	r.hosts.idleTimeout = config.ConnIdleTimeout
 	r.watch.revision = known.Revision
-	r.balancer = balance.New(begin, r, loop.Now())
+	r.balancer = balance.New(config, r, loop.Now())
 	if len(known.Members) > 0 {
-		r.list(&known, true, true)
+		r.applyList(&known, true, true)
 	}
-	loop.OnRoundStart = r.round
+	loop.OnRoundStart = r.startRound
 	return r, nil
 }
 
-// round begins a round of input: the time, and the outcomes of the pushes called off in the last.
-func (r *Router) round(now float64) {
-	r.shutdown.heed(r)
+// startRound begins a round of the event loop: it advances the balancer's clock, applies pending requests from
+// other goroutines and reports the pushes that were cancelled in the previous round.
+func (r *Router) startRound(now float64) {
+	r.shutdown.startIfRequested(r)
 	r.balancer.Advance(now)
 	r.balancer.ReportInputWait(r.loop.InputDelay())
-	r.reload()
-	r.takeInventory()
+	r.applyReload()
+	r.applyInventory()
 	if r.shutdown.closing && r.handOver.successor != nil {
-		r.passOn()
+		r.handOverClients()
 	}
-	over := r.calledOff
-	r.calledOff = nil
-	for _, p := range over {
-		r.ended(p, p.outcome)
+	cancelled := r.cancelledPushes
+	r.cancelledPushes = nil
+	for _, p := range cancelled {
+		r.reportEnd(p, p.outcome)
 	}
-	r.spare()
+	r.evictForMemory()
 }
 
-// list hands a list on to the balancer.
-func (r *Router) list(l *protocol.HostList, whole, saved bool) {
+// applyList passes a host list to the balancer. complete tells whether hosts missing from it are gone; saved
+// marks a list that was stored earlier or came from another process.
+func (r *Router) applyList(l *protocol.HostList, complete, saved bool) {
 	for _, err := range l.MemberErrors {
-		r.log.Warn("line of the list left out", "error", err)
+		r.log.Warn("skipped invalid entry of the host list", "error", err)
 	}
 	entries := make([]balance.HostEntry, 0, len(l.Members))
 	for _, m := range l.Members {
@@ -133,34 +138,35 @@
 			h = r.hosts.add(m.ID, r.configuration.params.IsOrigin(m.Flavor))
 		}
 		listing := balance.Listing{Zone: slices.Index(r.configuration.params.Zones, m.Locality), Cell: m.Cell, Size: m.Size,
-			UpSince: m.UpSince, Status: phases[m.Phase]}
-		if !(listing.Size > 0) { // a list without sizes
+			UpSince: m.UpSince, Status: statusByPhase[m.Phase]}
+		if !(listing.Size > 0) { // the list has no sizes
 			listing.Size = 1
 		}
-		h.listed = m
+		h.listEntry = m
 		if m.Address.IsValid() && m.Address != h.address {
 			h.address = m.Address
-			h.hangUp(transport.HostGone)
+			h.closeIdle(transport.HostGone)
 		}
 		if listing.Status != balance.Ready {
-			h.leave()
+			h.withdraw()
 		}
-		if listing.UpSince > h.UpSince { // connections to the process before are dead, whether they tell or not
-			h.hangUp(transport.HostSilent)
+		if listing.UpSince > h.UpSince {
+			// The host restarted: connections to its previous process are dead even where no reset arrived.
+			h.closeIdle(transport.HostSilent)
 		}
 		entries = append(entries, balance.HostEntry{Host: &h.Host, Listing: listing})
 	}
-	r.balancer.HostsListed(entries, whole, saved)
-	r.hosts.forget(r.loop.Now())
+	r.balancer.HostsListed(entries, complete, saved)
+	r.hosts.removeGone(r.loop.Now())
 }
 
-// HasListedHosts tells whether any cache host is listed.
+// HasListedHosts reports whether any cache host is listed.
 func (r *Router) HasListedHosts() bool {
 	known, _ := r.balancer.HostCounts()
 	return known > 0
 }
 
-// CheckReady tells why no op can be served now, if so.
+// CheckReady returns nil if ops can be served, else an error that tells why not.
 func (r *Router) CheckReady() error {
 	if r.clients.listener == nil {
 		return ErrNotListening
@@ -171,5 +177,6 @@
 	return nil
 }
 
-var phases = map[protocol.Phase]balance.Status{protocol.InService: balance.Ready,
+// statusByPhase maps discovery's phases to the balancer's statuses.
+var statusByPhase = map[protocol.Phase]balance.Status{protocol.InService: balance.Ready,
 	protocol.Terminating: balance.Draining, protocol.Terminated: balance.Gone}
--- a/internal/routing/upgrade.go
+++ b/internal/routing/upgrade.go
@@ -10,62 +10,67 @@
 	"larchthread/internal/transport"
 )
 
-const passMost = 48 << 10 // bytes of a command that is passed on half read: more would not fit a message
+const maxPassedBytes = 48 << 10 // bytes of a partly read command that are handed over: more would not fit into a message
 
-// PeerProcess is the other process while two live.
+// PeerProcess is the other process of the instance during an upgrade.
 type PeerProcess interface {
-	// TellBan has it ban a host, or lift the ban; done hears whether it knows the host.
-	ForwardBan(id string, out bool, done func(known bool))
+	// ForwardBan bans a host in the other process, or lifts the ban. done is called with whether it knows the
+	// host.
+	ForwardBan(id string, banned bool, done func(known bool))
 }
 
 // Successor is the process that takes over.
 type Successor interface {
-	PassConnection(fd int, unread []byte, proven bool) // a client's connection, and whether an op has come on it
-	HasUnsent() bool                                   // some of that is still on its way
+	// PassConnection hands over a client's connection with its unread input. proven tells whether an op has arrived
+	// on it. The descriptor is the successor's from then on.
+	PassConnection(fd int, unread []byte, proven bool)
+	// HasUnsent reports whether connections are still being handed over.
+	HasUnsent() bool
 }
 
-// handOver is what this process knows of the other ones of its instance while there are any.
+// handOver refers to the other processes of the instance during an upgrade.
 type handOver struct {
-	partner   PeerProcess // the other process of an upgrade, or nil
-	successor Successor   // the one that takes over, once it serves, or nil
+	peer      PeerProcess // nil if there is none
+	successor Successor   // set once it serves; nil if there is none
 }
 
-// Listen listens at an address; a shared one may have listeners of several processes.
+// Listen starts to accept clients at an address. A shared address may have listeners of several processes.
 func (r *Router) Listen(at netip.AddrPort, shared bool) (err error) {
-	r.clients.listener, err = r.loop.ListenAt("client", at, shared, 0, r.accept)
+	r.clients.listener, err = r.loop.ListenAt("client", at, shared, 0, r.acceptClient)
 	return err
 }
 
-// AdoptListener listens on a socket that another process has listened on.
+// AdoptListener starts to accept clients on a listening socket of another process, given by its descriptor.
 func (r *Router) AdoptListener(fd int) (err error) {
-	r.clients.listener, err = r.loop.AdoptListener("client", fd, 0, r.accept)
+	r.clients.listener, err = r.loop.AdoptListener("client", fd, 0, r.acceptClient)
 	return err
 }
 
-// Listener is the clients' listener; nil while there is none.
+// Listener returns the clients' listener, or nil before the router listens.
 func (r *Router) Listener() *transport.Listener { return r.clients.listener }
 
-// SetPeerProcess tells of the other process that lives beside this one, nil where there is none; both together have the memory of
-// one.
+// SetPeerProcess sets the other process of the instance, or nil once it is gone. Two processes share the buffer
+// memory equally.
 func (r *Router) SetPeerProcess(p PeerProcess) {
-	r.handOver.partner = p
-	r.memory.share(p != nil)
+	r.handOver.peer = p
+	r.memory.setShared(p != nil)
 }
 
-// SetSuccessor tells of the process that takes over, nil where it is lost. This one leaves new connections to it, and from the word to
-// stop on passes its clients on.
+// SetSuccessor sets the process that takes over, or nil if it is lost. While it is set, this process accepts no
+// connections, and during shutdown it hands its clients over.
 func (r *Router) SetSuccessor(s Successor) {
 	r.handOver.successor = s
 	r.clients.listener.SetSuspended(s != nil)
 	r.loop.SkipWait()
 }
 
-// KnownHosts is what another process has to know of hosts: the list as it stands, the ids there were, and those banned.
+// KnownHosts returns what another process needs to know about hosts: the current list, the ids of all past and
+// present cache hosts, and the banned ids.
 func (r *Router) KnownHosts() (l *protocol.HostList, past, banned []string) {
 	l = &protocol.HostList{Revision: r.watch.revision, Complete: true}
 	for id, h := range r.hosts.byID {
 		if h.Status != balance.Gone {
-			l.Members = append(l.Members, h.listed)
+			l.Members = append(l.Members, h.listEntry)
 		}
 		if h.Banned {
 			banned = append(banned, id)
@@ -83,10 +88,11 @@
 // YieldColdBudgets leaves the budgets for cold hosts to another process, or takes them back.
 func (r *Router) YieldColdBudgets(on bool) { r.balancer.YieldColdHosts(on) }
 
-// Learned is what the balancer has learned.
+// Learned returns what the balancer has learned.
 func (r *Router) Learned() balance.Learned { return r.balancer.Learned() }
 
-// AdoptHostState takes what another process knows of hosts.
+// AdoptHostState takes over another process's host list, past and banned ids, and what its balancer has
+// learned.
 func (r *Router) AdoptHostState(l *protocol.HostList, past, banned []string, learned []balance.Learned) {
 	for _, id := range past {
 		if r.hosts.byID[id] == nil {
@@ -95,9 +101,9 @@
 	}
 	if l.Revision >= r.watch.revision && len(l.Members) > 0 {
 		r.watch.revision = l.Revision
-		r.list(l, true, true)
+		r.applyList(l, true, true)
 	}
-	if r.inventory.inUse { // the file is this process's own, and may be newer
+	if r.inventory.inUse { // this process's inventory may be newer than that of the other
 		r.inventory.pending.Store(r.inventory.current)
 	}
 	for _, part := range learned {
@@ -106,22 +112,23 @@
 	r.banAll(banned)
 }
 
-// AdoptClient takes a client's connection that another process has passed on.
+// AdoptClient takes over a client's connection from another process, with its unread input and whether an op
+// has arrived on it.
 func (r *Router) AdoptClient(fd int, unread []byte, proven bool) {
 	c := r.clients.listener.AdoptConn(fd, unread).Handler.(*client)
 	c.proven = proven
-	c.attend(false)
+	c.updateTimer(false)
 }
 
-// passOn passes on the clients' connections that stand between two ops.
-func (r *Router) passOn() {
+// handOverClients hands over the client connections that have no open op and no unsent answer.
+func (r *Router) handOverClients() {
 	for _, c := range slices.Clone(r.clients.all) {
-		unread := c.commands.PendingLine()
-		if len(c.line) > 0 || c.conn.Out.Len() > 0 || c.ending != "" || !c.conn.IsOpen() ||
-			len(unread)+c.conn.In.Len() > passMost {
+		unread := c.decoder.PendingLine()
+		if len(c.pipeline) > 0 || c.conn.Out.Len() > 0 || c.closeReason != "" || !c.conn.IsOpen() ||
+			len(unread)+c.conn.In.Len() > maxPassedBytes {
 			continue
 		}
-		c.leave()
+		c.deregister()
 		fd, in := c.conn.Detach()
 		r.handOver.successor.PassConnection(fd, append([]byte(unread), in...), c.proven)
 	}
--- a/internal/routing/watch.go
+++ b/internal/routing/watch.go
@@ -7,107 +7,110 @@
 	"larchthread/internal/transport"
 )
 
-// watch is the watch on discovery's list.
+// watch follows discovery's host list with long-polling requests.
 type watch struct {
-	router   *Router
-	address  netip.AddrPort
-	conn     *transport.Conn
-	lists    *protocol.ListReader
-	revision uint64
-	limit    transport.Timer // of a call that waits; a first one's is the balancer's
-	whole    bool            // the whole list is asked for next
-	asked    float64         // ms, when it was last
+	router          *Router
+	address         netip.AddrPort
+	conn            *transport.Conn
+	decoder         *protocol.ListReader
+	revision        uint64
+	callTimer       transport.Timer // limits later requests; the balancer limits the first
+	wantFullList    bool            // the next request asks for the full list
+	fullListAskedAt float64         // ms
 }
 
-// begin begins a new watch, in place of one that may be on.
-func (w *watch) begin() {
-	w.end(transport.WatchRenewed)
-	w.ask(watchFirst)
+// restart starts a new watch and ends the current one, if any.
+func (w *watch) restart() {
+	w.close(transport.WatchRenewed)
+	w.sendRequest(firstWatchWait)
 }
 
-// ask makes the next call of the watch.
-func (w *watch) ask(wait int) {
+// sendRequest sends the next request, which discovery may hold open for wait ms.
+func (w *watch) sendRequest(wait int) {
 	if w.conn == nil {
 		w.conn = w.router.loop.Dial("discovery", w.address, w)
-		w.lists = protocol.NewListReader()
+		w.decoder = protocol.NewListReader()
 	}
-	if w.whole {
+	if w.wantFullList {
 		protocol.WriteListRequest(&w.conn.Out, w.address.String())
 	} else {
 		protocol.WriteWatchRequest(&w.conn.Out, w.address.String(), w.revision, wait)
 	}
 	w.conn.Flush()
-	if wait != watchFirst {
-		w.router.loop.SetTimer(&w.limit, watchWait+watchSlack)
+	if wait != firstWatchWait {
+		w.router.loop.SetTimer(&w.callTimer, watchWait+watchSlack)
 	}
 }
 
-// end closes the connection to discovery.
-func (w *watch) end(why transport.Reason) {
-	w.router.loop.StopTimer(&w.limit)
+// close closes the connection to discovery, if there is one.
+func (w *watch) close(reason transport.Reason) {
+	w.router.loop.StopTimer(&w.callTimer)
 	if w.conn != nil {
-		w.lists.Free()
-		w.conn.Close(why)
+		w.decoder.Free()
+		w.conn.Close(reason)
 		w.conn = nil
 	}
 }
 
-func (w *watch) fail(why transport.Reason) {
-	w.end(why)
+// fail closes the connection to discovery and tells the balancer that no list came.
+func (w *watch) fail(reason transport.Reason) {
+	w.close(reason)
 	w.router.balancer.HostListFailed()
 }
 
-// overdue gives up a call that is not answered in time. A watch may hang on a connection that is dead without a
-// word: what is to be told counts as told soon after the wait, so it is asked for at once on a new one.
-func (w *watch) overdue() {
-	w.end(transport.WatchTimeout)
+// onTimeout replaces a connection on which discovery has not answered in time: it may be dead without a reset,
+// and changes have to be known soon.
+func (w *watch) onTimeout() {
+	w.close(transport.WatchTimeout)
 	w.router.balancer.HostListMoved()
 }
 
-// Received implements transport.Owner.
+// Received implements transport.ConnHandler: it reads a list.
 func (w *watch) Received(c *transport.Conn) {
-	l, last, err := w.lists.Next(&c.In)
-	w.take(l, last, err)
+	l, last, err := w.decoder.Next(&c.In)
+	w.handleList(l, last, err)
 }
 
-// Ended implements transport.Owner.
-func (w *watch) Ended(c *transport.Conn, why transport.Reason) {
-	if l, _, err := w.lists.Finish(); l != nil || err != nil {
-		w.take(l, true, err)
+// Ended implements transport.ConnHandler: it takes a list that ends with the connection, or else fails.
+func (w *watch) Ended(c *transport.Conn, reason transport.Reason) {
+	if l, _, err := w.decoder.Finish(); l != nil || err != nil {
+		w.handleList(l, true, err)
 		return
 	}
-	w.fail(why)
+	w.fail(reason)
 }
 
-// take hands a list on, and goes on watching.
-func (w *watch) take(l *protocol.HostList, last bool, err error) {
+// handleList applies a list and sends the next request. last tells that the connection closes after this
+// answer.
+func (w *watch) handleList(l *protocol.HostList, last bool, err error) {
 	switch {
 	case err != nil:
-		w.router.log.Warn("no list", "error", err)
+		w.router.log.Warn("invalid answer from discovery", "error", err)
 		w.fail(transport.InvalidList)
 		return
 	case l == nil:
 		return
 	}
 	if last {
-		w.end(transport.CloseRequested)
+		w.close(transport.CloseRequested)
 	}
-	w.whole = w.hides(l)
+	w.wantFullList = w.missesChanges(l)
 	w.revision = l.Revision
-	w.ask(watchWait)
+	w.sendRequest(watchWait)
 	if len(l.Members) > 0 {
 		w.router.log.Info("list", "revision", l.Revision, "complete", l.Complete, "members", len(l.Members))
 	}
-	w.router.list(l, l.Complete, false)
+	w.router.applyList(l, l.Complete, false)
 }
 
-// hides tells whether an answer keeps from this side what it has to know: the list has moved on, or back, and no entry says
-// by what. The whole list is asked for then, though not again and again.
-func (w *watch) hides(l *protocol.HostList) bool {
+// missesChanges reports whether the list's revision changed but no entry tells how, in which case the full list
+// is needed. It returns true at most once per fullListInterval.
+func (w *watch) missesChanges(l *protocol.HostList) bool {
 	now := w.router.loop.Now()
-	if l.Complete || l.Revision == w.revision || l.Revision > w.revision && len(l.Members)+len(l.MemberErrors) > 0 || now-w.asked < wholePause {
+	if l.Complete || l.Revision == w.revision || l.Revision > w.revision && len(l.Members)+len(l.MemberErrors) > 0 ||
+		now-w.fullListAskedAt < fullListInterval {
 		return false
 	}
-	w.asked = now
+	w.fullListAskedAt = now
 	return true
 }
--- a/internal/transport/arrival_test.go
+++ b/internal/transport/arrival_test.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	waitFor   = 300 * time.Millisecond // that bytes wait unread
-	clockSlip = 30.0                   // ms between a test's clock and the system's: some of its ticks
+	unreadWait     = 300 * time.Millisecond // how long input stays unread
+	clockTolerance = 30.0                   // ms between a test's clock and the kernel's, which advances in ticks
 )
 
-// arrival is what an owner was told of bytes: when it was, and when they can have come at the earliest.
-type arrival struct{ told, earliest float64 }
+// arrival holds when input was delivered, and when it can have arrived at the earliest, in ms.
+type arrival struct{ deliveredAt, earliest float64 }
 
-// recorder notes when bytes came on connections from clients.
+// recorder records the input of client connections.
 type recorder struct {
-	came   chan arrival
-	during func(c *Conn) // called with each, on the loop's thread
+	arrivals  chan arrival
+	onReceive func(c *Conn) // called for each, on the loop's goroutine; may be nil
 }
 
+// Received implements ConnHandler.
 func (r *recorder) Received(c *Conn) {
 	c.In.Free()
-	r.came <- arrival{c.loop.Now(), c.ArrivedAt}
-	if r.during != nil {
-		r.during(c)
+	r.arrivals <- arrival{c.loop.Now(), c.ArrivedAt}
+	if r.onReceive != nil {
+		r.onReceive(c)
 	}
 }
 
+// Ended implements ConnHandler.
 func (r *recorder) Ended(*Conn, Reason) {}
 
-// record runs a loop whose clients' connections belong to r, and are not closed to make room, until the test is over.
-func record(t *testing.T, r *recorder, descriptors int) (*Loop, netip.AddrPort) {
+// startRecording runs a loop until the test ends. r handles its client connections, which are never evicted.
+func startRecording(t *testing.T, r *recorder, descriptors int) (*Loop, netip.AddrPort) {
 	t.Helper()
 	address := unusedAddress()
 	loop, err := NewLoop(descriptors, 64<<20, slog.New(slog.DiscardHandler))
@@ -67,8 +69,8 @@
 	return loop, address
 }
 
-// unusedAddress is an address that nobody has, in this process's own part of loopback: on the usual one a connection that is
-// just being made may take the port before the loop does.
+// unusedAddress returns a free address in this process's own part of loopback, where no other connection takes
+// the port before the loop listens.
 func unusedAddress() netip.AddrPort {
 	pid := os.Getpid()
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.3:0", pid>>8&255, pid&255))
@@ -79,6 +81,7 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
+// dialTest opens a connection that closes with the test.
 func dialTest(t *testing.T, address netip.AddrPort) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address.String())
@@ -89,7 +92,7 @@
 	return conn
 }
 
-// send writes a byte and returns when, by the loop's clock.
+// send writes a byte and returns the loop's time before that.
 func send(t *testing.T, loop *Loop, conn net.Conn) float64 {
 	t.Helper()
 	at := loop.ReadClock()
@@ -99,107 +102,109 @@
 	return at
 }
 
-// What waits while nothing is read counts from the pause on. What comes after it counts from when it comes.
+// Input that arrives during a pause counts from the start of the pause; later input counts from its arrival.
 func TestArrivedWhilePaused(t *testing.T) {
-	r := &recorder{came: make(chan arrival, 3)}
+	r := &recorder{arrivals: make(chan arrival, 3)}
 	var resume Timer
 	pauses := 0
-	r.during = func(c *Conn) {
+	r.onReceive = func(c *Conn) {
 		if pauses++; pauses > 1 {
 			return
 		}
 		c.SetPaused(true)
 		resume.Fire = func() { c.SetPaused(false) }
-		c.loop.SetTimer(&resume, float64(waitFor.Milliseconds()))
+		c.loop.SetTimer(&resume, float64(unreadWait.Milliseconds()))
 	}
-	loop, address := record(t, r, 256)
+	loop, address := startRecording(t, r, 256)
 	client := dialTest(t, address)
 	send(t, loop, client)
-	paused := (<-r.came).told
+	paused := (<-r.arrivals).deliveredAt
 	sent := send(t, loop, client)
-	held := <-r.came
-	if held.earliest > sent+clockSlip || held.earliest < paused-clockSlip {
+	held := <-r.arrivals
+	if held.earliest > sent+clockTolerance || held.earliest < paused-clockTolerance {
 		t.Errorf("sent %.0f ms after the pause began, counts from %.0f ms after", sent-paused, held.earliest-paused)
 	}
-	if waited := held.told - sent; waited < float64(waitFor.Milliseconds())/2 {
-		t.Fatalf("the bytes were told after %.0f ms: they did not wait", waited)
+	if waited := held.deliveredAt - sent; waited < float64(unreadWait.Milliseconds())/2 {
+		t.Fatalf("the input was delivered after %.0f ms: it did not wait", waited)
 	}
-	time.Sleep(waitFor)
+	time.Sleep(unreadWait)
 	sent = send(t, loop, client)
-	if prompt := <-r.came; prompt.earliest < sent-clockSlip {
+	if prompt := <-r.arrivals; prompt.earliest < sent-clockTolerance {
 		t.Errorf("sent after the pause was over, counts from %.0f ms before", sent-prompt.earliest)
 	}
 }
 
-// A pause in which nothing came leaves no trace.
+// A pause without input does not affect later arrival times.
 func TestArrivedAfterEmptyPause(t *testing.T) {
-	r := &recorder{came: make(chan arrival, 2)}
+	r := &recorder{arrivals: make(chan arrival, 2)}
 	var resume Timer
-	r.during = func(c *Conn) {
+	r.onReceive = func(c *Conn) {
 		c.SetPaused(true)
 		resume.Fire = func() { c.SetPaused(false) }
 		c.loop.SetTimer(&resume, 1)
 	}
-	loop, address := record(t, r, 256)
+	loop, address := startRecording(t, r, 256)
 	client := dialTest(t, address)
 	send(t, loop, client)
-	<-r.came
-	time.Sleep(waitFor)
+	<-r.arrivals
+	time.Sleep(unreadWait)
 	sent := send(t, loop, client)
-	if second := <-r.came; second.earliest < sent-clockSlip {
+	if second := <-r.arrivals; second.earliest < sent-clockTolerance {
 		t.Errorf("sent long after the pause, counts from %.0f ms before", sent-second.earliest)
 	}
 }
 
-// What a client sent while it stood in the queue of a listener that had no socket for it counts from then.
+// Input of a client that waits in the queue of a listener without free sockets counts from its arrival.
 func TestArrivedInQueue(t *testing.T) {
-	r := &recorder{came: make(chan arrival, 64)}
-	loop, address := record(t, r, 2*ReservedDescriptors)
+	r := &recorder{arrivals: make(chan arrival, 64)}
+	loop, address := startRecording(t, r, 2*ReservedDescriptors)
 	var clients []net.Conn
-	for range ReservedDescriptors - ReservedDescriptors/dialShare {
+	for range ReservedDescriptors - ReservedDescriptors/dialReserveDivisor {
 		client := dialTest(t, address)
 		send(t, loop, client)
-		<-r.came
+		<-r.arrivals
 		clients = append(clients, client)
 	}
 	queued := dialTest(t, address)
 	sent := send(t, loop, queued)
-	time.Sleep(waitFor)
+	time.Sleep(unreadWait)
 	select {
-	case <-r.came:
+	case <-r.arrivals:
 		t.Fatal("the listener had a socket for one more")
 	default:
 	}
 	clients[0].Close()
-	got := <-r.came
-	if got.earliest > sent+clockSlip || got.earliest < sent-clockSlip {
-		t.Errorf("sent %.0f ms before it was told, counts from %.0f ms before", got.told-sent, got.told-got.earliest)
+	got := <-r.arrivals
+	if got.earliest > sent+clockTolerance || got.earliest < sent-clockTolerance {
+		t.Errorf("sent %.0f ms before delivery, counts from %.0f ms before", got.deliveredAt-sent, got.deliveredAt-got.earliest)
 	}
 }
 
-// What comes on a connection that another process has passed on amid a command counts from when it comes, not from the hand-over.
+// Input that follows a partial command of an adopted connection counts from its arrival, not from the
+// hand-over.
 func TestArrivedBehindAdoptedPart(t *testing.T) {
-	r := &recorder{came: make(chan arrival, 3)}
+	r := &recorder{arrivals: make(chan arrival, 3)}
 	client, descriptor := connectionElsewhere(t)
 	adopted := false
-	r.during = func(c *Conn) {
+	r.onReceive = func(c *Conn) {
 		if !adopted {
 			adopted = true
 			c.listener.AdoptConn(descriptor, []byte("part of a command"))
 		}
 	}
-	loop, address := record(t, r, 256)
+	loop, address := startRecording(t, r, 256)
 	send(t, loop, dialTest(t, address))
-	<-r.came
-	<-r.came // the part that was passed on
-	time.Sleep(waitFor)
+	<-r.arrivals
+	<-r.arrivals // the partial command
+	time.Sleep(unreadWait)
 	sent := send(t, loop, client)
-	if rest := <-r.came; rest.earliest < sent-clockSlip {
+	if rest := <-r.arrivals; rest.earliest < sent-clockTolerance {
 		t.Errorf("sent long after the hand-over, counts from %.0f ms before", sent-rest.earliest)
 	}
 }
 
-// connectionElsewhere is a connection of a client that no loop has accepted, and the descriptor of the accepted side.
+// connectionElsewhere returns a client's connection that no loop has accepted, and a descriptor of its accepted
+// side.
 func connectionElsewhere(t *testing.T) (client net.Conn, descriptor int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -225,41 +230,41 @@
 	return client, descriptor
 }
 
-// What comes on a connection that was accepted while there was no memory to read from it counts from when it comes.
+// Input on a connection that was accepted while the pool was full counts from its arrival.
 func TestArrivedBehindFullMemory(t *testing.T) {
-	r := &recorder{came: make(chan arrival, 2)}
+	r := &recorder{arrivals: make(chan arrival, 2)}
 	var room Timer
-	r.during = func(c *Conn) {
+	r.onReceive = func(c *Conn) {
 		c.loop.Pool.MaxBytes = 1
 		held := c.loop.Pool.get()
 		room.Fire = func() {
 			c.loop.Pool.put(held)
 			c.loop.Pool.MaxBytes = 0
 		}
-		c.loop.SetTimer(&room, float64(waitFor.Milliseconds()))
-		r.during = nil
+		c.loop.SetTimer(&room, float64(unreadWait.Milliseconds()))
+		r.onReceive = nil
 	}
-	loop, address := record(t, r, 256)
+	loop, address := startRecording(t, r, 256)
 	send(t, loop, dialTest(t, address))
-	<-r.came
+	<-r.arrivals
 	late := dialTest(t, address)
-	time.Sleep(2 * waitFor)
+	time.Sleep(2 * unreadWait)
 	sent := send(t, loop, late)
-	if got := <-r.came; got.earliest < sent-clockSlip {
+	if got := <-r.arrivals; got.earliest < sent-clockTolerance {
 		t.Errorf("sent long after there was memory again, counts from %.0f ms before", sent-got.earliest)
 	}
 }
 
-// A wait that takes far longer than it may tells that the process stood still, as where its share of the cores is used up. A
-// wait without an end tells nothing.
+// A poll that far exceeds its timeout shows that the process was stopped. A poll without a timeout shows
+// nothing.
 func TestOverslept(t *testing.T) {
 	for _, c := range []struct {
-		took     float64
-		patience int
-		want     bool
-	}{{100, 100, false}, {100 + oversleepMost, 100, false}, {101 + oversleepMost, 100, true}, {1, 0, false}, {1e6, -1, false}} {
-		if got := overslept(c.took, c.patience); got != c.want {
-			t.Errorf("a wait of %v ms that took %v ms: overslept %v, want %v", c.patience, c.took, got, c.want)
+		took    float64
+		timeout int
+		want    bool
+	}{{100, 100, false}, {100 + maxOversleep, 100, false}, {101 + maxOversleep, 100, true}, {1, 0, false}, {1e6, -1, false}} {
+		if got := overslept(c.took, c.timeout); got != c.want {
+			t.Errorf("a poll with a timeout of %v ms that took %v ms: overslept %v, want %v", c.timeout, c.took, got, c.want)
 		}
 	}
 }
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -2,27 +2,29 @@
 
 import "bytes"
 
+// buffer is a block of a Chain.
 type buffer struct {
 	data [BufferSize]byte
-	r, w int // bytes r to w are filled
+	r, w int // data[r:w] holds unread bytes
 }
 
-// Pool hands out buffers and takes them back. It belongs to one loop.
+// Pool allocates and recycles buffers. It belongs to one loop and is not safe for concurrent use.
 type Pool struct {
-	MaxBytes int // bytes handed out at which nothing more is read from clients; 0 for no bound
+	MaxBytes int // limit at which clients are no longer read; 0 for none
 
-	free []*buffer
-	out  int
+	free  []*buffer
+	inUse int
 }
 
-// IsFull tells whether there is no room for what clients send.
+// IsFull reports whether the limit is reached.
 func (p *Pool) IsFull() bool { return p.MaxBytes > 0 && p.UsedBytes() >= p.MaxBytes }
 
-// UsedBytes is how many bytes are handed out.
-func (p *Pool) UsedBytes() int { return p.out * BufferSize }
+// UsedBytes returns the size of all buffers in use.
+func (p *Pool) UsedBytes() int { return p.inUse * BufferSize }
 
+// get returns an empty buffer.
 func (p *Pool) get() *buffer {
-	p.out++
+	p.inUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -32,28 +34,29 @@
 	return &buffer{}
 }
 
+// put takes a buffer back.
 func (p *Pool) put(b *buffer) {
-	p.out--
-	if len(p.free) < poolKept {
+	p.inUse--
+	if len(p.free) < maxFreeBuffers {
 		p.free = append(p.free, b)
 	}
 }
 
-// Chain is a queue of bytes in buffers of a pool.
+// Chain is a FIFO queue of bytes in buffers of a Pool.
 type Chain struct {
-	pool *Pool
-	bufs []*buffer
-	base []*buffer // where bufs began, to be filled again
-	size int
+	pool    *Pool
+	bufs    []*buffer
+	storage []*buffer // backing array of bufs, reused once the chain is empty
+	size    int
 }
 
-// NewChain makes an empty chain of the pool's buffers.
+// NewChain returns an empty chain that uses the pool's buffers.
 func (p *Pool) NewChain() Chain { return Chain{pool: p} }
 
-// Len is how many bytes the chain holds.
+// Len returns the number of bytes in the chain.
 func (c *Chain) Len() int { return c.size }
 
-// tail is the free end of the chain.
+// tail returns the last buffer if it has free space, else a new one that it appends.
 func (c *Chain) tail() *buffer {
 	if n := len(c.bufs); n > 0 && c.bufs[n-1].w < BufferSize {
 		return c.bufs[n-1]
@@ -63,24 +66,26 @@
 	return b
 }
 
+// add appends a buffer without counting its bytes.
 func (c *Chain) add(b *buffer) {
 	if len(c.bufs) == 0 {
-		c.bufs = append(c.base[:0], b)
-		c.base = c.bufs[:0]
+		c.bufs = append(c.storage[:0], b)
+		c.storage = c.bufs[:0]
 		return
 	}
 	c.bufs = append(c.bufs, b)
 }
 
-// Write appends bytes. It never fails.
+// Write appends p. It never fails.
 func (c *Chain) Write(p []byte) (int, error) {
 	write(c, p)
 	return len(p), nil
 }
 
-// WriteString appends a string.
+// WriteString appends s.
 func (c *Chain) WriteString(s string) { write(c, s) }
 
+// write appends bytes to a chain.
 func write[T []byte | string](c *Chain, left T) {
 	for len(left) > 0 {
 		b := c.tail()
@@ -91,7 +96,7 @@
 	}
 }
 
-// AppendRange appends n bytes of what d holds, from the byte at on, and leaves d as it is.
+// AppendRange appends n bytes of d, starting at offset at. It does not change d.
 func (c *Chain) AppendRange(d *Chain, at, n int) {
 	for _, b := range d.bufs {
 		part := b.data[b.r:b.w]
@@ -104,7 +109,7 @@
 	}
 }
 
-// Drop takes n bytes off the front; buffers that become empty go back to the pool.
+// Drop removes n bytes from the front and recycles the buffers that become empty.
 func (c *Chain) Drop(n int) {
 	c.size -= n
 	for n > 0 {
@@ -123,10 +128,10 @@
 	}
 }
 
-// Free gives all buffers back.
+// Free removes all bytes and recycles all buffers.
 func (c *Chain) Free() { c.Drop(c.size) }
 
-// SplitFront moves n bytes off the front into a chain of their own. Whole buffers move as they are.
+// SplitFront moves n bytes from the front to a new chain. Whole buffers are moved without copying.
 func (c *Chain) SplitFront(n int) Chain {
 	d := c.pool.NewChain()
 	for n > 0 {
@@ -146,8 +151,8 @@
 	return d
 }
 
-// ReadLine takes a line that ends in LF off the front and returns it without its line end. It reports false
-// while none is whole. The line is a copy.
+// ReadLine removes a line that ends in LF from the front and returns a copy without its LF or CRLF. It returns
+// false if there is no complete line.
 func (c *Chain) ReadLine() (string, bool) {
 	var line []byte
 	for _, b := range c.bufs {
@@ -158,9 +163,9 @@
 			continue
 		}
 		if line == nil {
-			whole := string(bytes.TrimSuffix(part[:i], []byte("\r")))
+			complete := string(bytes.TrimSuffix(part[:i], []byte("\r")))
 			c.Drop(i + 1)
-			return whole, true
+			return complete, true
 		}
 		line = append(line, part[:i]...)
 		c.Drop(len(line) + 1)
@@ -169,8 +174,8 @@
 	return "", false
 }
 
-// PeekLine is the line at the front with its end, where it is whole in the first buffer, or nil. It is good until the chain
-// is next changed.
+// PeekLine returns the first line with its LF, or an empty slice if the line does not end in the first buffer.
+// The slice is valid until the chain changes.
 func (c *Chain) PeekLine() []byte {
 	if len(c.bufs) == 0 {
 		return nil
@@ -179,7 +184,7 @@
 	return part[:bytes.IndexByte(part, '\n')+1]
 }
 
-// Bytes returns a copy of what the chain holds.
+// Bytes returns a copy of the bytes in the chain.
 func (c *Chain) Bytes() []byte {
 	p := make([]byte, 0, c.size)
 	for _, b := range c.bufs {
@@ -188,7 +193,7 @@
 	return p
 }
 
-// trim gives back an end that nothing was written to.
+// trim recycles the last buffer if it is empty.
 func (c *Chain) trim() {
 	if n := len(c.bufs); n > 0 && c.bufs[n-1].r == c.bufs[n-1].w {
 		c.pool.put(c.bufs[n-1])
@@ -196,10 +201,11 @@
 	}
 }
 
-// NewSibling makes an empty chain of the same pool.
+// NewSibling returns an empty chain that uses the same pool.
 func (c *Chain) NewSibling() Chain { return c.pool.NewChain() }
 
-// MoveFrom appends what d holds and leaves d empty. Full buffers move as they are.
+// MoveFrom appends the bytes of d and empties it. Buffers that don't fit into the last one are moved without
+// copying.
 func (c *Chain) MoveFrom(d *Chain) {
 	for _, b := range d.bufs {
 		if n := len(c.bufs); n > 0 && BufferSize-c.bufs[n-1].w >= b.w-b.r {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,123 +7,124 @@
 	"golang.org/x/sys/unix"
 )
 
-// ConnHandler is told what becomes of a connection.
+// ConnHandler receives the events of a connection.
 type ConnHandler interface {
-	Received(c *Conn)          // more bytes stand in c.In
-	Ended(c *Conn, why Reason) // the other side or the network ended it; not called after Close
+	Received(c *Conn)             // c.In holds new input
+	Ended(c *Conn, reason Reason) // the peer or the network ended it; not called after Close
 }
 
-// EvictionClass is what a connection is good for, where room has to be made.
+// EvictionClass tells whether a connection may be closed to make room for others.
 type EvictionClass uint8
 
 const (
-	Needed   EvictionClass = iota // something is owed on it
-	Idle                          // nothing is, now
-	Unproven                      // nothing of use has ever come on it
+	Needed   EvictionClass = iota // in use: must not be evicted
+	Idle                          // may be evicted
+	Unproven                      // nothing useful has arrived on it: evicted first
 )
 
-// status of a connection.
+// status is the state of a connection.
 type status uint8
 
 const (
-	connecting  status = iota // on its way up
-	up                        // open
-	halfClosing               // our side has said its last; what still comes is thrown away until the other ends
-	closed                    // over; its socket is closed when the round is carried out
+	connecting status = iota // being established
+	established
+	halfClosing // the last output is being sent; input is discarded until the peer closes
+	closed      // ended; the socket is closed at the end of the round
 )
 
-// Conn is one connection.
+// Conn is a connection with its input and output.
 type Conn struct {
 	In, Out       Chain
 	Handler       ConnHandler
-	BeforeWrite   func()               // called right before Out is written: it appends what depends on the time of writing; may be nil
-	AfterWrite    func()               // hears that some of Out has been written, or that a dial has begun; nil where nobody wants to
-	EvictionClass func() EvictionClass // tells whether the connection may be closed to make room
-	LastUsed      float64              // ms, when it last carried anything
+	BeforeWrite   func()               // called before Out is written, to append time-dependent output; may be nil
+	AfterWrite    func()               // called after some of Out was written, or connecting began; may be nil
+	EvictionClass func() EvictionClass // may be nil: not evicted
+	LastUsed      float64              // ms
 	CreatedAt     float64              // ms
-	ArrivedAt     float64              // ms, the earliest time at which the last byte of a command in In can have come
+	ArrivedAt     float64              // ms; earliest time at which the last byte of a command in In can have arrived
 
-	loop     *Loop
-	listener *Listener // through which it came, or nil
-	kind     string    // who is at the other side, for the log
-	peer     netip.AddrPort
-	fd       int
-	status   status
-	events   uint32  // what epoll looks for now
-	why      Reason  // of an end that the owner has not been told yet
-	news     bool    // in the loop's list of connections with news
-	fresh    bool    // bytes have come that the owner has not seen
-	marked   bool    // in the loop's list of connections to write to
-	paused   bool    // nothing is read for now
-	unread   float64 // ms, the earliest time at which what stands unread at the socket can have come; 0 where not known
-	first    float64 // ms, since when it can be this process that has it wait; 0 where not known
-	heard    float64 // the same of what stands in In
-	last     Timer   // until a half-closed connection is closed
-	took     uint64  // bytes read
-	gave     uint64  // bytes written
+	loop           *Loop
+	listener       *Listener // that accepted it, or nil
+	kind           string    // of peer, for the log
+	peer           netip.AddrPort
+	fd             int
+	status         status
+	events         uint32  // registered with epoll
+	endReason      Reason  // undelivered end; empty if there is none
+	inReadyList    bool    // in loop.readyConns
+	hasNewInput    bool    // In has undelivered input
+	inWriteQueue   bool    // in loop.writeQueue
+	paused         bool    // reading is paused
+	unreadFrom     float64 // ms; earliest time at which input still in the socket can have arrived; 0 if unknown
+	waitingSince   float64 // ms; since when that input may wait because of this process; 0 if unknown
+	inputSince     float64 // ms; the same for the input in In
+	halfCloseTimer Timer   // closes a half-closed connection
+	bytesRead      uint64
+	bytesWritten   uint64
 }
 
-// Peer is the address of the other side.
+// Peer returns the peer's address.
 func (c *Conn) Peer() netip.AddrPort { return c.peer }
 
-// reserved tells whether the connection has its descriptor out of its listener's reserve.
-func (c *Conn) reserved() bool { return c.listener != nil && c.listener.reserve > 0 }
+// usesReserve reports whether the connection's descriptor comes from its listener's reserve.
+func (c *Conn) usesReserve() bool { return c.listener != nil && c.listener.reserve > 0 }
 
-// IsOpen tells whether the connection is open.
-func (c *Conn) IsOpen() bool { return c.status == up }
+// IsOpen reports whether the connection is established and not closing.
+func (c *Conn) IsOpen() bool { return c.status == established }
 
-// move is the one place where a connection changes its status.
-func (c *Conn) move(to status) {
+// setStatus is the only place that changes the status. A closed connection stays closed.
+func (c *Conn) setStatus(to status) {
 	if c.status != closed {
 		c.status = to
 	}
 }
 
-// Flush has what stands in Out written when the round is carried out.
+// Flush writes Out at the end of the round.
 func (c *Conn) Flush() {
 	c.LastUsed = c.loop.now
-	c.mark()
+	c.queueWrite()
 }
 
-// Close ends the connection when the round is carried out, before anything is written.
-func (c *Conn) Close(why Reason) {
+// Close closes the connection at the end of the round, before anything is written. Unsent output is lost.
+func (c *Conn) Close(reason Reason) {
 	if c.status == closed {
 		return
 	}
-	c.move(closed)
+	c.setStatus(closed)
 	c.In.Free()
 	c.Out.Free()
-	c.loop.StopTimer(&c.last)
-	c.loop.shut = append(c.loop.shut, c)
-	if c.fd >= 0 && !c.reserved() {
-		c.loop.open--
+	c.loop.StopTimer(&c.halfCloseTimer)
+	c.loop.closeQueue = append(c.loop.closeQueue, c)
+	if c.fd >= 0 && !c.usesReserve() {
+		c.loop.openSockets--
 	}
 	if c.listener != nil {
 		c.listener.remove(c)
 	}
-	c.log(why)
+	c.logEnd(reason)
 }
 
-// Detach takes an open connection out of the loop and returns its descriptor and what has been read of it and not been
-// taken. Nothing more comes to its owner.
+// Detach removes an open connection from the loop. It returns the descriptor and the input that has not been
+// consumed. The handler gets no more events.
 func (c *Conn) Detach() (fd int, unread []byte) {
 	fd, unread = c.fd, c.In.Bytes()
-	unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, fd, nil) // the socket lives on: closing it here would not do
+	// Closing the descriptor would not suffice, as the socket stays open in the other process.
+	unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_DEL, fd, nil)
 	c.loop.conns[fd] = nil
 	c.Close(HandedOver)
 	c.fd = -1
 	return fd, unread
 }
 
-// HalfClose closes the connection once what stands in Out is written, and the other side has ended or let its
-// time pass: closing a socket with unread input would throw away the answers that are on their way. The
-// owner hears no more of it.
-func (c *Conn) HalfClose(why Reason) {
-	if c.status != up {
-		c.Close(why)
+// HalfClose writes the pending output, then closes the connection once the peer has closed it or a timeout has
+// passed. An immediate close with unread input would discard output in transit. The handler gets no more
+// events.
+func (c *Conn) HalfClose(reason Reason) {
+	if c.status != established {
+		c.Close(reason)
 		return
 	}
-	c.move(halfClosing)
+	c.setStatus(halfClosing)
 	c.In.Free()
 	c.EvictionClass = func() EvictionClass {
 		if c.Out.Len() > 0 {
@@ -132,65 +133,70 @@
 		return Unproven
 	}
 	c.AfterWrite = nil
-	c.last.Fire = func() { c.Close(why) }
-	c.Handler = ender{why}
-	c.loop.SetTimer(&c.last, halfCloseMost)
+	c.halfCloseTimer.Fire = func() { c.Close(reason) }
+	c.Handler = closingHandler{reason}
+	c.loop.SetTimer(&c.halfCloseTimer, halfCloseWriteTimeout)
 	c.paused = false
 	c.Flush()
 }
 
-// ender owns connections that have been finished.
-type ender struct{ why Reason }
+// closingHandler handles connections that HalfClose is closing.
+type closingHandler struct{ reason Reason }
 
-func (ender) Received(c *Conn)            { c.In.Free() }
-func (e ender) Ended(c *Conn, why Reason) { c.Close(e.why) }
+// Received discards input.
+func (closingHandler) Received(c *Conn) { c.In.Free() }
 
-func (c *Conn) log(why Reason) {
-	c.loop.Log.Info("connection ended", "reason", string(why), "kind", c.kind, "peer", c.peer.String(),
-		"ms", int(c.loop.now-c.CreatedAt), "in", c.took, "out", c.gave)
+// Ended closes the connection with the reason that HalfClose was given.
+func (h closingHandler) Ended(c *Conn, reason Reason) { c.Close(h.reason) }
+
+// logEnd logs why the connection ended, its age in ms and its bytes.
+func (c *Conn) logEnd(reason Reason) {
+	c.loop.Log.Info("connection ended", "reason", string(reason), "kind", c.kind, "peer", c.peer.String(),
+		"ms", int(c.loop.now-c.CreatedAt), "in", c.bytesRead, "out", c.bytesWritten)
 }
 
-// noted puts the connection on the list of those with news.
-func (c *Conn) noted() {
+// markReady adds the connection to the loop's list of those with events to deliver.
+func (c *Conn) markReady() {
 	switch {
-	case c.news:
+	case c.inReadyList:
 		return
-	case c.reserved():
-		c.loop.ready = slices.Insert(c.loop.ready, 0, c)
+	case c.usesReserve():
+		c.loop.readyConns = slices.Insert(c.loop.readyConns, 0, c)
 	default:
-		c.loop.ready = append(c.loop.ready, c)
+		c.loop.readyConns = append(c.loop.readyConns, c)
 	}
-	c.news = true
+	c.inReadyList = true
 }
 
-// fromClient tells whether the other side puts work to this one: what it asks may wait, what answers may not.
-func (c *Conn) fromClient() bool { return c.listener != nil && !c.reserved() }
+// isClient reports whether the peer sends requests. Requests may wait; answers may not.
+func (c *Conn) isClient() bool { return c.listener != nil && !c.usesReserve() }
 
-// tell hands what has come to the owner. What a client has asked before it left is nobody's any more.
-func (c *Conn) tell() {
-	c.news = false
-	if c.fresh && c.status != closed && !(c.fromClient() && c.why != "") {
-		c.fresh = false
+// deliver passes new input and the connection's end to the handler. Input of a client that has disconnected is
+// dropped.
+func (c *Conn) deliver() {
+	c.inReadyList = false
+	if c.hasNewInput && c.status != closed && !(c.isClient() && c.endReason != "") {
+		c.hasNewInput = false
 		c.Handler.Received(c)
 	}
-	if c.why != "" && c.status != closed {
-		c.Handler.Ended(c, c.why)
-		c.Close(c.why)
+	if c.endReason != "" && c.status != closed {
+		c.Handler.Ended(c, c.endReason)
+		c.Close(c.endReason)
 	}
 }
 
-// broke remembers an end that the owner has still to be told.
-func (c *Conn) broke(why Reason) {
-	if c.why == "" {
-		c.why = why
+// recordEnd stores the reason for an end that is delivered later.
+func (c *Conn) recordEnd(reason Reason) {
+	if c.endReason == "" {
+		c.endReason = reason
 	}
-	c.noted()
+	c.markReady()
 }
 
-// wants is what epoll is to look for. A client's end is looked for whether anything is read or not: what it has asked is not
-// to be sent on for nobody.
-func (c *Conn) wants() (want uint32) {
-	if c.fromClient() && c.status == up {
+// wantedEvents returns the epoll events to register. A client's disconnect is watched for even while reading is
+// paused, so that its requests are not forwarded in vain.
+func (c *Conn) wantedEvents() (want uint32) {
+	if c.isClient() && c.status == established {
 		want |= unix.EPOLLRDHUP
 	}
 	if !c.paused && c.status != connecting {
@@ -202,51 +208,51 @@
 	return want
 }
 
-// interest tells epoll what to look for.
-func (c *Conn) interest() {
-	if want := c.wants(); want != c.events {
+// updateEvents registers the wanted events with epoll.
+func (c *Conn) updateEvents() {
+	if want := c.wantedEvents(); want != c.events {
 		c.events = want
 		unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_MOD, c.fd, &unix.EpollEvent{Events: want, Fd: int32(c.fd)})
 	}
 }
 
-// gather takes what epoll found.
-func (c *Conn) gather(events uint32) {
+// handleEvents handles the epoll events of the connection.
+func (c *Conn) handleEvents(events uint32) {
 	if c.status == connecting {
-		if err := pending(c.fd); err != nil || events&unix.EPOLLHUP != 0 {
-			c.broke(ConnectFailed)
+		if err := socketError(c.fd); err != nil || events&unix.EPOLLHUP != 0 {
+			c.recordEnd(ConnectFailed)
 			return
 		}
-		c.move(up)
-		c.interest()
+		c.setStatus(established)
+		c.updateEvents()
 		c.Flush()
 	}
-	if events&unix.EPOLLRDHUP != 0 && c.fromClient() && c.status == up {
-		c.broke(PeerClosed)
+	if events&unix.EPOLLRDHUP != 0 && c.isClient() && c.status == established {
+		c.recordEnd(PeerClosed)
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.mark()
+		c.queueWrite()
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
 		c.read()
 	}
 }
 
-// mark puts the connection on the list of those to write to.
-func (c *Conn) mark() {
-	if !c.marked && c.status != closed {
-		c.marked = true
-		c.loop.dirty = append(c.loop.dirty, c)
+// queueWrite adds the connection to the loop's list of those to write.
+func (c *Conn) queueWrite() {
+	if !c.inWriteQueue && c.status != closed {
+		c.inWriteQueue = true
+		c.loop.writeQueue = append(c.loop.writeQueue, c)
 	}
 }
 
-// write passes on what stands in Out, as far as the socket takes it.
+// write writes Out as far as the socket accepts it.
 func (c *Conn) write() {
 	if c.BeforeWrite != nil {
 		c.BeforeWrite()
 	}
-	if c.status == closed { // what was to be written has no time left
+	if c.status == closed { // BeforeWrite closed it
 		return
 	}
 	before := c.Out.Len()
@@ -257,25 +263,25 @@
 			continue
 		}
 		if err != nil && err != unix.EAGAIN {
-			c.broke(Reset)
+			c.recordEnd(Reset)
 			return
 		}
 		if n <= 0 {
 			break
 		}
-		c.gave += uint64(n)
+		c.bytesWritten += uint64(n)
 		c.Out.Drop(n)
 		c.LastUsed = c.loop.now
 	}
 	if c.AfterWrite != nil && c.Out.Len() < before {
 		c.AfterWrite()
 	}
-	if c.paused && c.Out.Len() == 0 { // what was left unread for the answers not taken would wait for ever
+	if c.paused && c.Out.Len() == 0 { // reading was paused because of the unsent output
 		c.loop.ScheduleReceive(c)
 	}
 	if c.status == halfClosing && c.Out.Len() == 0 {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
-		c.loop.SetTimer(&c.last, halfCloseFor)
+		c.loop.SetTimer(&c.halfCloseTimer, halfClosePeerTimeout)
 	}
-	c.interest()
+	c.updateEvents()
 }
--- a/internal/transport/control.go
+++ b/internal/transport/control.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	maxPathBytes     = 107 // bytes of a Unix socket's path, as the kernel has it
-	maxInboxMessages = 64  // messages read in a round, so that sockets are heard in between
+	maxPathBytes     = 107 // longest path of a Unix socket address
+	maxInboxMessages = 64  // messages read in a round, so that sockets are served in between
 )
 
-// MaxMessageBytes is how many bytes a message may have: the kernel's usual buffer of a Unix socket takes it whole.
+// MaxMessageBytes is the largest message: the default kernel buffer of a Unix socket holds it.
 const MaxMessageBytes = 128 << 10
 
-// Message is what one process sends another on this machine, perhaps with a descriptor.
+// Message is a message between two processes on this machine, with an optional descriptor.
 type Message struct {
 	Data []byte
-	FD   int // below 0 for none
+	FD   int // negative if there is none
 }
 
-// PeerHandler is told what becomes of a control channel.
+// PeerHandler receives the events of a control channel.
 type PeerHandler interface {
-	MessageReceived(c *ControlChannel, m Message) // a message has come; its descriptor is the handler's now
-	PeerLost(c *ControlChannel, unsent []Message) // the other process is gone; not called after Close
+	MessageReceived(c *ControlChannel, m Message) // the handler owns the message's descriptor
+	PeerLost(c *ControlChannel, unsent []Message) // the other process has ended; not called after Close
 }
 
-// ControlChannel carries messages between two processes, in order.
+// ControlChannel carries messages between two processes in order, on a Unix socket.
 type ControlChannel struct {
 	loop    *Loop
 	handler PeerHandler
 	fd      int
 	inbox   []Message
-	queue   []Message // to be sent
+	queue   []Message // not sent yet
 	lost    bool
 }
 
-// ControlListener accepts control channels at a path in the file system.
+// ControlListener accepts control channels at a path of the file system.
 type ControlListener struct {
 	loop   *Loop
 	fd     int
 	accept func() PeerHandler
 }
 
-// atPath does something with a Unix socket's address, also where its path is too long for the kernel: the directory's
-// descriptor stands for it then.
-func atPath(path string, do func(unix.Sockaddr) error) error {
+// withAddress calls do with the address of a Unix socket. A path that is too long for the kernel is addressed
+// through a descriptor of its directory.
+func withAddress(path string, do func(unix.Sockaddr) error) error {
 	if len(path) > maxPathBytes {
 		dir, err := unix.Open(filepath.Dir(path), unix.O_PATH|unix.O_CLOEXEC, 0)
 		if err != nil {
@@ -61,53 +61,56 @@
 	return do(&unix.SockaddrUnix{Name: path})
 }
 
+// unixSocket creates a non-blocking Unix socket that keeps message boundaries.
 func unixSocket() (int, error) {
 	return unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
-// ListenControl listens for control connections at a path. It takes the path from whoever had it, in one step.
+// ListenControl listens for control channels at a path. It atomically replaces a socket that is already there.
+// accept returns the handler of a new channel.
 func (l *Loop) ListenControl(path string, accept func() PeerHandler) (*ControlListener, error) {
 	fd, err := unixSocket()
 	if err != nil {
 		return nil, fmt.Errorf("socket: %w", err)
 	}
-	own := path + "." + strconv.Itoa(os.Getpid())
-	os.Remove(own)
-	if err = atPath(own, func(a unix.Sockaddr) error { return unix.Bind(fd, a) }); err == nil {
+	tempPath := path + "." + strconv.Itoa(os.Getpid())
+	os.Remove(tempPath)
+	if err = withAddress(tempPath, func(a unix.Sockaddr) error { return unix.Bind(fd, a) }); err == nil {
 		if err = unix.Listen(fd, backlog); err == nil {
-			err = os.Rename(own, path)
+			err = os.Rename(tempPath, path)
 		}
 	}
 	if err != nil {
 		unix.Close(fd)
-		os.Remove(own)
+		os.Remove(tempPath)
 		return nil, fmt.Errorf("listen on %s: %w", path, err)
 	}
 	c := &ControlListener{loop: l, fd: fd, accept: accept}
-	l.controls = append(l.controls, c)
-	return c, l.look(fd, unix.EPOLLIN)
+	l.controlListeners = append(l.controlListeners, c)
+	return c, l.watchFD(fd, unix.EPOLLIN)
 }
 
-// Close ends the listener; channels that it has accepted stay.
+// Close stops listening; accepted channels stay open.
 func (c *ControlListener) Close() {
-	c.loop.controls = slices.DeleteFunc(c.loop.controls, func(x *ControlListener) bool { return x == c })
+	c.loop.controlListeners = slices.DeleteFunc(c.loop.controlListeners, func(x *ControlListener) bool { return x == c })
 	unix.Close(c.fd)
 }
 
-// acceptOne accepts one channel; the next round takes the next.
+// acceptOne accepts one channel; further ones follow in the next rounds.
 func (c *ControlListener) acceptOne() {
 	if fd, _, err := unix.Accept4(c.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC); err == nil {
 		c.loop.newControlChannel(fd).handler = c.accept()
 	}
 }
 
-// DialControl opens a control channel to the process that listens at the path. It fails at once where there is none.
+// DialControl opens a control channel to the process that listens at the path. It returns an error at once if
+// there is none.
 func (l *Loop) DialControl(path string, handler PeerHandler) (*ControlChannel, error) {
 	fd, err := unixSocket()
 	if err != nil {
 		return nil, err
 	}
-	if err := atPath(path, func(a unix.Sockaddr) error { return unix.Connect(fd, a) }); err != nil {
+	if err := withAddress(path, func(a unix.Sockaddr) error { return unix.Connect(fd, a) }); err != nil {
 		unix.Close(fd)
 		return nil, err
 	}
@@ -116,16 +119,18 @@
 	return c, nil
 }
 
+// newControlChannel creates a channel for a connected socket. The caller sets its handler.
 func (l *Loop) newControlChannel(fd int) *ControlChannel {
 	c := &ControlChannel{loop: l, fd: fd}
-	l.channels = append(l.channels, c)
-	if l.look(fd, unix.EPOLLIN) != nil {
+	l.controlChannels = append(l.controlChannels, c)
+	if l.watchFD(fd, unix.EPOLLIN) != nil {
 		c.lost = true
 	}
 	return c
 }
 
-// Send sends a message when the round is carried out. Its descriptor is the channel's from now on.
+// Send sends a message at the end of the round. The channel owns the descriptor and closes it after sending; a
+// negative fd means none.
 func (c *ControlChannel) Send(data []byte, fd int) {
 	if c.fd < 0 {
 		if fd >= 0 {
@@ -136,15 +141,15 @@
 	c.queue = append(c.queue, Message{data, fd})
 }
 
-// HasUnsent tells whether messages are still to be sent.
+// HasUnsent reports whether messages are still to be sent.
 func (c *ControlChannel) HasUnsent() bool { return len(c.queue) > 0 }
 
-// Close ends the channel at once; what is not sent is thrown away.
+// Close closes the channel and discards unsent messages.
 func (c *ControlChannel) Close() {
 	if c.fd < 0 {
 		return
 	}
-	c.loop.channels = slices.DeleteFunc(c.loop.channels, func(x *ControlChannel) bool { return x == c })
+	c.loop.controlChannels = slices.DeleteFunc(c.loop.controlChannels, func(x *ControlChannel) bool { return x == c })
 	unix.Close(c.fd)
 	c.fd = -1
 	for _, m := range append(c.queue, c.inbox...) {
@@ -155,7 +160,7 @@
 	c.queue, c.inbox = nil, nil
 }
 
-// read takes the messages that have come.
+// read reads the messages that have arrived.
 func (c *ControlChannel) read() {
 	data := make([]byte, MaxMessageBytes)
 	var rights [64]byte
@@ -171,21 +176,21 @@
 			return
 		}
 		m := Message{append([]byte(nil), data[:n]...), -1}
-		for _, fd := range received(rights[:rightsSize]) {
-			if m.FD >= 0 { // there is never more than one
+		for _, fd := range receivedFDs(rights[:rightsSize]) {
+			if m.FD >= 0 { // senders attach at most one
 				unix.Close(m.FD)
 			}
 			m.FD = fd
 		}
 		if flags&unix.MSG_TRUNC != 0 {
-			m.Data = nil // not from one of us: nobody can read it
+			m.Data = nil // not from this program: messages are never longer
 		}
 		c.inbox = append(c.inbox, m)
 	}
 }
 
-// received are the descriptors that came with a message.
-func received(rights []byte) (fds []int) {
+// receivedFDs returns the descriptors that came with a message.
+func receivedFDs(rights []byte) (fds []int) {
 	all, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil
@@ -198,12 +203,12 @@
 	return fds
 }
 
-// deliver hands on what has come.
+// deliver passes the messages that have arrived, and the channel's end, to the handler.
 func (c *ControlChannel) deliver() {
 	inbox := c.inbox
 	c.inbox = nil
 	for _, m := range inbox {
-		if c.fd < 0 { // closed by its handler meanwhile
+		if c.fd < 0 { // the handler has closed the channel
 			if m.FD >= 0 {
 				unix.Close(m.FD)
 			}
@@ -219,7 +224,7 @@
 	}
 }
 
-// write sends what is in the queue, as far as the other side takes it.
+// write sends queued messages until the other process has no room.
 func (c *ControlChannel) write() {
 	for len(c.queue) > 0 && c.fd >= 0 {
 		m := c.queue[0]
@@ -232,7 +237,7 @@
 		case unix.EINTR:
 			continue
 		case unix.EAGAIN, unix.ETOOMANYREFS, unix.ENOBUFS:
-			c.loop.SetTimer(&c.loop.resend, resendAfter)
+			c.loop.SetTimer(&c.loop.resendTimer, controlRetryDelay)
 			return
 		default:
 			c.lost = true
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -1,9 +1,11 @@
-// Package transport serves the sockets: one loop over epoll, connections with their bytes in pooled
-// buffers, and timers. It knows nothing of what the bytes mean.
+// Package transport serves sockets: a single-threaded event loop on epoll, connections with pooled buffers,
+// control channels between processes, and timers. It knows nothing about the protocols above it.
 //
-// A round of the loop has three parts. It gathers what is ready: connections accepted, bytes read. It hands
-// that to the owners in one go. Then it carries out what they asked for: connections closed, then opened,
-// then written to.
+// A round of the loop has three parts. It collects events: connections are accepted and input is read. It then
+// delivers them to the handlers. Last it carries out what the handlers asked for: it closes connections, opens
+// new ones and writes.
+//
+// Times and durations are float64 milliseconds; times are Unix time.
 package transport
 
 import (
@@ -21,63 +23,64 @@
 )
 
 const (
-	BufferSize = 16 << 10       // bytes, the one size: most messages fit, and a thousand take little of a balancer's memory
-	poolKept   = 512            // free buffers that the pool holds on to: 8 MB; more go back to the garbage collector
-	readMost   = 5 * BufferSize // bytes read from one connection in a round: the largest value and its line
-
-	oversleepMost = 50.0   // ms that a wait may take too long on a busy machine
-	quietFor      = 0.25   // ms of a round in which what it has gathered counts as all that has come
-	sliceFor      = 0.5    // ms of a round for what clients ask: a hundred ops
-	eventsMost    = 512    // events taken in one round at the least
-	acceptMost    = 256    // connections accepted in one round, so that those that are open are heard in between
-	backlog       = 4096   // connections that the kernel may accept for us between two rounds: its own upper end
-	halfCloseMost = 5000.0 // ms that a slow reader may take over the answers before our last word: over any TTL
-	halfCloseFor  = 200.0  // ms that the other side may take to end after our last word: many round trips
-	resendAfter   = 2.0    // ms until messages that the other process has no room for are tried again: it reads in each round
-	acceptPause   = 5.0    // ms until it is tried again to accept, where no connection was idle: a busy one takes as long
-
-	ReservedDescriptors = 32    // descriptors of the runtime, the log, operators' calls and an upgrade: about 25, and room
-	silentGrace         = 10.0  // ms that a caller of a listener's reserve has to begin its call: a few rounds, or a thousand silent ones would keep others out
-	unprovenFor         = 100.0 // ms that a new client has for its first command before it makes room: many round trips
-	unprovenShare       = 4     // one in so many sockets may be a new client's without one: usual ones hold a third in all
-
-	dialShare   = 8        // one in so many sockets is kept for connections that this side opens: some a host
-	kernelShare = 0.2      // part of the memory that the kernel's buffers of all sockets may take
-	kernelLeast = 16 << 10 // bytes of one: below that each value takes many rounds
+	BufferSize     = 16 << 10       // bytes of each buffer: most messages fit into one
+	maxFreeBuffers = 512            // 8 MB; further free buffers are left to the garbage collector
+	maxReadBytes   = 5 * BufferSize // bytes read from a connection in one round: the largest value and its command line
+
+	maxOversleep          = 50.0   // ms that a poll may exceed its timeout on a busy machine
+	pollValidity          = 0.25   // ms after a poll for which its result counts as current
+	clientTimeSlice       = 0.5    // ms of a round for requests of clients
+	minEventCapacity      = 512    // lowest capacity for events of one poll
+	maxAccepts            = 256    // connections accepted per listener in one round, so that open ones are served in between
+	backlog               = 4096   // connections that the kernel queues between two rounds
+	halfCloseWriteTimeout = 5000.0 // ms to write the last answers to a slow reader; longer than any TTL
+	halfClosePeerTimeout  = 200.0  // ms for the peer to close after this side's end
+	controlRetryDelay     = 2.0    // ms until messages that the other process had no room for are sent again
+	acceptRetryDelay      = 5.0    // ms until accepting is tried again when no connection could be evicted
+
+	ReservedDescriptors = 32    // descriptors for the runtime, the log, operators' connections and upgrades
+	silentGrace         = 10.0  // ms to send a first byte before a connection of a reserve may be evicted
+	unprovenGrace       = 100.0 // ms that a new client has for its first command before it may be evicted
+	unprovenDivisor     = 4     // above 1 in 4 sockets, unproven clients have no grace period
+
+	dialReserveDivisor = 8        // 1 in 8 sockets is kept for outgoing connections
+	kernelMemoryShare  = 0.2      // share of memory for the kernel's buffers of all sockets
+	minKernelBuffer    = 16 << 10 // bytes: with less, each value takes many rounds
 )
 
-// Loop is one loop over the sockets of the program. All its methods but Ring are the loop's own thread's.
+// Loop is an event loop over the program's sockets. Only Wake may be called from other goroutines.
 type Loop struct {
 	Log          *slog.Logger
 	Pool         *Pool
-	OnRoundStart func(now float64) // called first in each round, before anything is handed over
-
-	epoll, bell  int
-	most         int // sockets that may be open
-	kernel       int // bytes of the kernel's buffer for one direction of a connection
-	open         int
-	conns        []*Conn // by descriptor
-	listeners    []*Listener
-	controls     []*ControlListener
-	channels     []*ControlChannel
-	resend       Timer // after messages had to wait
-	timers       timerqueue.Queue[*Timer]
-	began        time.Time
-	wall         float64 // ms, Unix time then, as far as the machine knows it
-	now          float64 // ms, Unix time
-	before       float64 // ms, when the last round had read what there was
-	slice        float64 // ms, when clients have had their time in this round
-	waited       bool    // what was read in this round came while the loop had nothing to do
-	broken, idle bool    // a signal has broken off the last wait; there was nothing to do before this round
-	ready        []*Conn // with news
-	dirty        []*Conn // to write to
-	shut         []*Conn // to close
-	dialed       []*Conn // to open
-	again        bool    // the next round must not wait
-	ended        bool
+	OnRoundStart func(now float64) // called at the start of each round, before events are delivered
+
+	epoll, wakeFD        int
+	maxSockets           int // limit of openSockets
+	kernelBufferBytes    int // kernel buffer of a connection in one direction
+	openSockets          int
+	conns                []*Conn // by descriptor
+	listeners            []*Listener
+	controlListeners     []*ControlListener
+	controlChannels      []*ControlChannel
+	resendTimer          Timer // makes a round that sends delayed messages
+	timers               timerqueue.Queue[*Timer]
+	startedAt            time.Time
+	startWall            float64 // Unix ms at startedAt
+	now                  float64 // Unix ms of this round
+	lastPollAt           float64 // Unix ms of the last poll that left nothing unread
+	clientDeadline       float64 // Unix ms until which clients' requests are delivered in this round
+	idleWait             bool    // this round's input arrived while the loop was waiting
+	interrupted, wasIdle bool    // a signal interrupted the last wait; the loop had nothing to do before this round
+	readyConns           []*Conn // to be delivered
+	writeQueue           []*Conn // to be written
+	closeQueue           []*Conn // to be closed
+	dialQueue            []*Conn // to be opened
+	skipWait             bool    // the next poll does not wait
+	quit                 bool
 }
 
-// NewLoop makes a loop for so many descriptors at the most, in so many bytes of memory.
+// NewLoop creates a loop for at most the given number of descriptors, with kernel buffers that fit the given
+// bytes of memory. It returns an error if descriptors is too small or the kernel refuses a descriptor.
 func NewLoop(descriptors, memory int, log *slog.Logger) (*Loop, error) {
 	if descriptors < 2*ReservedDescriptors {
 		return nil, fmt.Errorf("sockets: %d, want %d or more", descriptors, 2*ReservedDescriptors)
@@ -86,280 +89,283 @@
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	bell, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{Log: log, Pool: &Pool{}, epoll: epoll, bell: bell, most: descriptors - ReservedDescriptors}
-	// The kernel takes twice what it is asked for, and each connection has two directions.
-	l.kernel = max(kernelLeast, int(kernelShare*float64(memory))/descriptors/4)
-	l.began, l.wall = time.Now(), float64(machine.Wall().UnixMicro())/1000
-	l.tick()
-	l.before = l.now
-	l.resend.Fire = func() {} // the round that it makes sends
-	return l, l.look(bell, unix.EPOLLIN)
+	l := &Loop{Log: log, Pool: &Pool{}, epoll: epoll, wakeFD: wakeFD, maxSockets: descriptors - ReservedDescriptors}
+	// The kernel doubles the requested size, and each connection has two directions.
+	l.kernelBufferBytes = max(minKernelBuffer, int(kernelMemoryShare*float64(memory))/descriptors/4)
+	l.startedAt, l.startWall = time.Now(), float64(machine.Wall().UnixMicro())/1000
+	l.updateNow()
+	l.lastPollAt = l.now
+	l.resendTimer.Fire = func() {} // the round that it starts sends
+	return l, l.watchFD(wakeFD, unix.EPOLLIN)
 }
 
-// tick reads the clock: the wall's time at the start, and steady from there.
-func (l *Loop) tick() { l.now = l.ReadClock() }
+// updateNow reads the clock: the wall clock at the start, advanced monotonically.
+func (l *Loop) updateNow() { l.now = l.ReadClock() }
 
-// Now is the time of this round, in Unix ms.
+// Now returns the time of this round in Unix ms.
 func (l *Loop) Now() float64 { return l.now }
 
-// ReadClock reads the clock within a round: how long what came first in it has taken.
+// ReadClock returns the current time in Unix ms, which advances within a round.
 func (l *Loop) ReadClock() float64 {
-	return l.wall + float64(time.Since(l.began).Nanoseconds())/1e6
+	return l.startWall + float64(time.Since(l.startedAt).Nanoseconds())/1e6
 }
 
-// EarliestArrival is the earliest time at which what was read in this round can have come: where there was something to read as the
-// round began, it may have waited for the one before to end.
+// EarliestArrival returns the earliest time in Unix ms at which this round's input can have arrived. If there
+// was input as the round began, it may have waited for the previous round to end.
 //
-// A wait that a signal broke off says nothing of this process being late: the runtime sends itself such signals.
+// A wait that a signal interrupted does not count as a delay: the Go runtime sends itself such signals.
 func (l *Loop) EarliestArrival() float64 {
-	if l.idle {
+	if l.wasIdle {
 		return l.now
 	}
-	return l.before
+	return l.lastPollAt
 }
 
-// least is the same for the time that a client has left: that must not be taken for more than it is, where a stop of the
-// process may have broken the wait.
-func (l *Loop) least() float64 {
-	if l.waited {
+// conservativeArrival is EarliestArrival for computing a client's remaining time, which must not be
+// overestimated: a wait that was interrupted counts as a delay, as the process may have been stopped.
+func (l *Loop) conservativeArrival() float64 {
+	if l.idleWait {
 		return l.now
 	}
-	return l.before
+	return l.lastPollAt
 }
 
-func (l *Loop) look(fd int, events uint32) error {
+// watchFD registers a descriptor with epoll.
+func (l *Loop) watchFD(fd int, events uint32) error {
 	return unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
-// Dial begins a connection when the round is carried out. A failure reaches the owner in the next round.
-func (l *Loop) Dial(kind string, a netip.AddrPort, owner ConnHandler) *Conn {
-	c := &Conn{loop: l, kind: kind, peer: a, fd: -1, Handler: owner, CreatedAt: l.now, LastUsed: l.now,
+// Dial opens a connection at the end of the round. A failure is delivered to the handler in the next round.
+func (l *Loop) Dial(kind string, address netip.AddrPort, handler ConnHandler) *Conn {
+	c := &Conn{loop: l, kind: kind, peer: address, fd: -1, Handler: handler, CreatedAt: l.now, LastUsed: l.now,
 		In: l.Pool.NewChain(), Out: l.Pool.NewChain()}
-	l.dialed = append(l.dialed, c)
+	l.dialQueue = append(l.dialQueue, c)
 	return c
 }
 
-// SkipWait lets the next round begin at once.
-func (l *Loop) SkipWait() { l.again = true }
+// SkipWait starts the next round without waiting.
+func (l *Loop) SkipWait() { l.skipWait = true }
 
-// Wake wakes the loop from another goroutine.
+// Wake starts a round. It may be called from any goroutine.
 func (l *Loop) Wake() {
-	unix.Write(l.bell, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+	unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
 }
 
-// Quit lets Run return after this round.
-func (l *Loop) Quit() { l.ended = true }
+// Quit makes Run return after this round.
+func (l *Loop) Quit() { l.quit = true }
 
-// Run serves until End.
+// Run serves until Quit is called. It returns an error if polling fails.
 func (l *Loop) Run() error {
-	events := make([]unix.EpollEvent, max(eventsMost, l.most+ReservedDescriptors)) // all that is ready belongs to one round
-	for !l.ended {
-		looked, patience := l.ReadClock(), 0
+	// One round takes all events that are ready.
+	events := make([]unix.EpollEvent, max(minEventCapacity, l.maxSockets+ReservedDescriptors))
+	for !l.quit {
+		pollStart, timeout := l.ReadClock(), 0
 		n, err := unix.EpollWait(l.epoll, events, 0)
-		if l.waited = n == 0 && err == nil; l.waited {
-			patience = l.patience()
-			n, err = unix.EpollWait(l.epoll, events, patience)
+		if l.idleWait = n == 0 && err == nil; l.idleWait {
+			timeout = l.pollTimeout()
+			n, err = unix.EpollWait(l.epoll, events, timeout)
 		}
-		if err == unix.EINTR { // as after a stop of the process: what came meanwhile belongs to the next round
-			l.broken = l.waited
+		if err == unix.EINTR { // the process may have been stopped; input that arrived meanwhile belongs to the next round
+			l.interrupted = l.idleWait
 			continue
 		}
 		if err != nil {
 			return fmt.Errorf("epoll: %w", err)
 		}
-		l.tick()
-		l.again = false
-		l.idle, l.broken = l.waited || l.broken, false
-		stoodStill := overslept(l.now-looked, patience)
-		l.waited = l.waited && !stoodStill
+		l.updateNow()
+		l.skipWait = false
+		l.wasIdle, l.interrupted = l.idleWait || l.interrupted, false
+		stalled := overslept(l.now-pollStart, timeout)
+		l.idleWait = l.idleWait && !stalled
 		for _, e := range events[:n] {
-			l.gather(int(e.Fd), e.Events)
+			l.handleEvent(int(e.Fd), e.Events)
 		}
-		l.hand()
+		l.deliver()
 		switch {
-		case n == len(events): // more stands ready that came before
-		case stoodStill: // perhaps behind the look at what is ready
-			l.before = looked
+		case n == len(events): // earlier events are still queued
+		case stalled: // perhaps after the poll looked for events
+			l.lastPollAt = pollStart
 		default:
-			l.before = l.now
+			l.lastPollAt = l.now
 		}
-		l.carryOut()
+		l.applyPending()
 	}
 	return nil
 }
 
-// Close closes all that is open, once Run has returned.
+// Close closes all connections after Run has returned.
 func (l *Loop) Close() {
 	for _, c := range l.conns {
 		if c != nil {
-			l.drop(c)
+			l.closeSocket(c)
 		}
 	}
-	unix.Close(l.bell)
+	unix.Close(l.wakeFD)
 	unix.Close(l.epoll)
 }
 
-// overslept tells whether a wait took so many ms longer than it should have at the most that the process must have stood
-// still: what came meanwhile waited for it, nobody knows for how long.
-func overslept(took float64, patience int) bool {
-	return patience >= 0 && took > float64(patience)+oversleepMost
+// overslept reports whether a poll exceeded its timeout by so much that the process must have been stopped;
+// input may then have waited for an unknown time. took and timeout are in ms; a negative timeout has no limit.
+func overslept(took float64, timeout int) bool {
+	return timeout >= 0 && took > float64(timeout)+maxOversleep
 }
 
-// patience is how long the next round may wait, in ms; -1 for as long as nothing happens.
-func (l *Loop) patience() int {
-	if l.again || len(l.ready) > 0 {
+// pollTimeout returns how long the next poll may wait in ms; -1 for no limit.
+func (l *Loop) pollTimeout() int {
+	if l.skipWait || len(l.readyConns) > 0 {
 		return 0
 	}
 	next := l.timers.Next()
 	if math.IsInf(next, 1) {
 		return -1
 	}
-	l.tick()
+	l.updateNow()
 	return int(math.Ceil(max(0, next-l.now)))
 }
 
-// gather takes what is ready at one descriptor.
-func (l *Loop) gather(fd int, events uint32) {
+// handleEvent handles an epoll event of a descriptor.
+func (l *Loop) handleEvent(fd int, events uint32) {
 	for _, listener := range l.listeners {
 		if listener.fd == fd {
 			listener.acceptQueued()
 			return
 		}
 	}
-	for _, c := range l.controls {
+	for _, c := range l.controlListeners {
 		if c.fd == fd {
 			c.acceptOne()
 			return
 		}
 	}
-	for _, c := range l.channels {
+	for _, c := range l.controlChannels {
 		if c.fd == fd {
 			c.read()
 			return
 		}
 	}
 	switch {
-	case fd == l.bell:
+	case fd == l.wakeFD:
 		var sink [8]byte
 		unix.Read(fd, sink[:])
 	case fd < len(l.conns) && l.conns[fd] != nil:
-		l.conns[fd].gather(events)
+		l.conns[fd].handleEvents(events)
 	}
 }
 
-// adopt takes a connection with its descriptor into the loop's books.
-func (l *Loop) adopt(c *Conn) {
+// register adds a connection with a descriptor to the loop.
+func (l *Loop) register(c *Conn) {
 	for len(l.conns) <= c.fd {
 		l.conns = append(l.conns, nil)
 	}
 	l.conns[c.fd] = c
-	if !c.reserved() {
-		l.open++
+	if !c.usesReserve() {
+		l.openSockets++
 	}
-	c.events = c.wants()
-	if err := l.look(c.fd, c.events); err != nil {
-		c.broke(OutOfSockets)
+	c.events = c.wantedEvents()
+	if err := l.watchFD(c.fd, c.events); err != nil {
+		c.recordEnd(OutOfSockets)
 	}
 }
 
-// hand gives the owners what was gathered.
-func (l *Loop) hand() {
+// deliver passes the collected events to the handlers. Clients' requests come last, within clientTimeSlice.
+func (l *Loop) deliver() {
 	if l.OnRoundStart != nil {
 		l.OnRoundStart(l.now)
 	}
-	for _, c := range slices.Clone(l.channels) {
+	for _, c := range slices.Clone(l.controlChannels) {
 		c.deliver()
 	}
-	ready := l.ready
-	l.ready = nil
-	asking := ready[:0]
+	ready := l.readyConns
+	l.readyConns = nil
+	requests := ready[:0]
 	for _, c := range ready {
-		if c.fromClient() && c.why == "" {
-			asking = append(asking, c)
+		if c.isClient() && c.endReason == "" {
+			requests = append(requests, c)
 		} else {
-			c.tell()
+			c.deliver()
 		}
 	}
-	l.slice = l.ReadClock() + sliceFor
-	for len(asking) > 0 && !l.ClientTimeExhausted() {
-		asking[0].tell()
-		asking = asking[1:]
+	l.clientDeadline = l.ReadClock() + clientTimeSlice
+	for len(requests) > 0 && !l.ClientTimeExhausted() {
+		requests[0].deliver()
+		requests = requests[1:]
 	}
-	l.ready = append(asking, l.ready...)
-	l.fire()
+	l.readyConns = append(requests, l.readyConns...)
+	l.fireDue()
 }
 
-// ClientTimeExhausted tells whether what clients ask has had its time in this round. The rest waits for the next, first come first: short
-// rounds cost less, as what they touch is still at hand, and no answer waits long to be read.
-func (l *Loop) ClientTimeExhausted() bool { return l.ReadClock() >= l.slice }
+// ClientTimeExhausted reports whether clients' requests have used up their time in this round. The rest is
+// delivered in later rounds in order of arrival. Short rounds keep the delay of hosts' answers low.
+func (l *Loop) ClientTimeExhausted() bool { return l.ReadClock() >= l.clientDeadline }
 
-// InputDelay is for how long what has not been handed over may have waited, at the most.
+// InputDelay returns for how many ms undelivered input of clients may have waited at most.
 func (l *Loop) InputDelay() float64 {
-	for _, c := range l.ready {
-		if c.fromClient() && c.fresh {
-			return l.now - c.heard
+	for _, c := range l.readyConns {
+		if c.isClient() && c.hasNewInput {
+			return l.now - c.inputSince
 		}
 	}
 	return l.now - l.EarliestArrival()
 }
 
-// carryOut closes, opens and writes.
-func (l *Loop) carryOut() {
-	for _, c := range l.shut {
-		l.drop(c)
+// applyPending carries out the requests to close, open and write.
+func (l *Loop) applyPending() {
+	for _, c := range l.closeQueue {
+		l.closeSocket(c)
 	}
-	l.shut = l.shut[:0]
-	for _, c := range l.dialed {
+	l.closeQueue = l.closeQueue[:0]
+	for _, c := range l.dialQueue {
 		l.connect(c)
 	}
-	l.dialed = l.dialed[:0]
-	for _, c := range l.dirty {
-		c.marked = false
-		if c.status == up || c.status == halfClosing {
+	l.dialQueue = l.dialQueue[:0]
+	for _, c := range l.writeQueue {
+		c.inWriteQueue = false
+		if c.status == established || c.status == halfClosing {
 			c.write()
 		}
 	}
-	l.dirty = l.dirty[:0]
-	for _, c := range l.channels {
+	l.writeQueue = l.writeQueue[:0]
+	for _, c := range l.controlChannels {
 		c.write()
 	}
 }
 
-// drop closes the socket of a connection that is over.
-func (l *Loop) drop(c *Conn) {
+// closeSocket closes a connection's descriptor, and lets paused listeners accept again.
+func (l *Loop) closeSocket(c *Conn) {
 	if c.fd >= 0 {
 		l.conns[c.fd] = nil
 		unix.Close(c.fd)
 		c.fd = -1
 		for _, listener := range l.listeners {
-			listener.watch(true)
+			listener.setAccepting(true)
 		}
 	}
 }
 
+// connect starts to connect. A failure is recorded for delivery in the next round.
 func (l *Loop) connect(c *Conn) {
 	if c.status == closed {
 		return
 	}
-	if l.open >= l.most && !l.makeRoom() {
-		c.broke(OutOfSockets)
+	if l.openSockets >= l.maxSockets && !l.makeRoom() {
+		c.recordEnd(OutOfSockets)
 		return
 	}
 	fd, err := dial(c.peer)
 	switch err {
 	case nil:
 		c.fd = fd
-		l.adopt(c)
+		l.register(c)
 		if c.AfterWrite != nil {
 			c.AfterWrite()
 		}
 	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-		c.broke(OutOfSockets)
+		c.recordEnd(OutOfSockets)
 	default:
-		c.broke(ConnectFailed)
+		c.recordEnd(ConnectFailed)
 	}
 }
--- a/internal/transport/reason.go
+++ b/internal/transport/reason.go
@@ -1,36 +1,36 @@
 package transport
 
-// Reason is a code for why a connection ended.
+// Reason is the logged code for why a connection ended.
 type Reason string
 
 const (
-	PeerClosed        Reason = "peer-closed"     // the other side closed it
-	Reset             Reason = "reset"           // it broke
-	ConnectFailed     Reason = "connect-failed"  // it never came up
-	ConnectTimeout    Reason = "connect-timeout" // it did not come up in time
-	Cancelled         Reason = "called-off"      // the push on it was called off
-	PushTimeout       Reason = "push-timeout"    // the push on it was given up
-	IdleReleased      Reason = "hung-up"         // given back while idle
-	IdleTimeout       Reason = "idle"            // idle for nearly as long as the other side keeps it
-	Evicted           Reason = "shed"            // idle, closed to make room for another
-	SurplusIdle       Reason = "surplus"         // idle for longest of many
-	HostGone          Reason = "host-gone"       // its host is draining or gone
-	HostSilent        Reason = "host-silent"     // idle since before its host fell silent
-	UnexpectedInput   Reason = "not-quiet"       // something came behind the last answer, or it ended there
-	BadInput          Reason = "bad-input"       // what came on it could not be read
-	WrongAnswer       Reason = "wrong-answer"    // the answer was to another op
-	EarlyAnswer       Reason = "early-answer"    // the answer came before the push was written whole
-	SlowReader        Reason = "slow-reader"     // it does not take its answers
-	IncompleteCommand Reason = "half-sent"       // the rest of a command did not come
-	NoCommand         Reason = "silent"          // no command came that could be taken
-	PeerTableFull     Reason = "table-full"      // the other side holds no more connections
-	CloseRequested    Reason = "answered-last"   // the other side asked for it to close
-	ShuttingDown      Reason = "stopping"        // the program stops
-	WatchRenewed      Reason = "watch-renewed"   // a new watch begins in place of this one
-	WatchMoved        Reason = "watch-moved"     // the configuration names another address
+	PeerClosed        Reason = "peer-closed"     // the peer closed it
+	Reset             Reason = "reset"           // it failed
+	ConnectFailed     Reason = "connect-failed"  // it was never established
+	ConnectTimeout    Reason = "connect-timeout" // it was not established in time
+	Cancelled         Reason = "called-off"      // its push was cancelled
+	PushTimeout       Reason = "push-timeout"    // its push was given up
+	IdleReleased      Reason = "hung-up"         // the balancer released it while idle
+	IdleTimeout       Reason = "idle"            // idle for almost as long as the peer keeps it open
+	Evicted           Reason = "shed"            // closed to make room for another
+	SurplusIdle       Reason = "surplus"         // idle longest when too many clients were idle
+	HostGone          Reason = "host-gone"       // its host is draining, gone, banned or has moved
+	HostSilent        Reason = "host-silent"     // opened before its host fell silent or restarted
+	UnexpectedInput   Reason = "not-quiet"       // input or the peer's end followed the last answer
+	BadInput          Reason = "bad-input"       // its input could not be parsed
+	WrongAnswer       Reason = "wrong-answer"    // the answer belongs to another op
+	EarlyAnswer       Reason = "early-answer"    // the answer came before the push was sent in full
+	SlowReader        Reason = "slow-reader"     // the client does not read its answers
+	IncompleteCommand Reason = "half-sent"       // the rest of a command did not arrive
+	NoCommand         Reason = "silent"          // no op arrived in time
+	PeerTableFull     Reason = "table-full"      // the host accepts no more connections
+	CloseRequested    Reason = "answered-last"   // the peer asked for it to be closed
+	ShuttingDown      Reason = "stopping"        // the program is shutting down
+	WatchRenewed      Reason = "watch-renewed"   // a new watch replaces this one
+	WatchMoved        Reason = "watch-moved"     // the configuration names another discovery address
 	WatchTimeout      Reason = "watch-timeout"   // discovery did not answer in time
-	InvalidList       Reason = "no-list"         // discovery answered with something else than a list
-	IncompleteAnswer  Reason = "half-answer"     // the value that was passed on broke off
-	HandedOver        Reason = "passed-on"       // the process that takes over has it
-	OutOfSockets      Reason = "out-of-sockets"  // none was to be had
+	InvalidList       Reason = "no-list"         // discovery's answer was not a valid list
+	IncompleteAnswer  Reason = "half-answer"     // a streamed value broke off
+	HandedOver        Reason = "passed-on"       // the successor process has it
+	OutOfSockets      Reason = "out-of-sockets"  // no descriptor was available
 )
--- a/internal/transport/receive.go
+++ b/internal/transport/receive.go
@@ -2,105 +2,108 @@
 
 import "golang.org/x/sys/unix"
 
-// IsQuiet tells whether the connection is open and nothing stands unread at its socket: what has come behind the last
-// answer, or its end, may not have been gathered yet.
+// IsQuiet reports whether the connection is open and has no unread input, also none in its socket that has not
+// been collected yet.
 func (c *Conn) IsQuiet() bool {
-	if c.status != up || c.why != "" || c.fresh || c.In.Len() > 0 {
+	if c.status != established || c.endReason != "" || c.hasNewInput || c.In.Len() > 0 {
 		return false
 	}
-	if c.loop.ReadClock()-c.loop.now < quietFor { // this round has looked at all sockets
+	if c.loop.ReadClock()-c.loop.now < pollValidity { // the poll of this round is recent
 		return true
 	}
-	return c.nothingUnread()
+	return c.socketEmpty()
 }
 
-// HasPendingInput tells whether something has come, be it the end, that the owner has not been told yet.
+// HasPendingInput reports whether input or the connection's end has arrived that has not been delivered. While
+// reading is paused it returns false.
 func (c *Conn) HasPendingInput() bool {
 	switch {
-	case c.paused: // what comes on it is not to be heard yet
+	case c.paused: // input is not to be delivered yet
 		return false
-	case c.fresh || c.why != "":
+	case c.hasNewInput || c.endReason != "":
 		return true
 	}
-	return !c.nothingUnread()
+	return !c.socketEmpty()
 }
 
-// IsAtEOF tells whether nothing more will come: the other side has ended the connection, and all it said is taken.
+// IsAtEOF reports whether the peer has closed the connection and all its input is consumed.
 func (c *Conn) IsAtEOF() bool {
 	n, err := c.peek()
-	return c.In.Len() == 0 && (c.why != "" || n == 0 && err == nil)
+	return c.In.Len() == 0 && (c.endReason != "" || n == 0 && err == nil)
 }
 
-// arrived takes what has come on a connection from a client before the loop first looked at it. The client may have left
-// already, behind what it asked.
-func (c *Conn) arrived() {
+// readOnAccept reads what a connection sent before the loop first polled it. A client may have disconnected
+// already.
+func (c *Conn) readOnAccept() {
 	c.read()
-	if !c.fromClient() || !c.fresh || c.why != "" {
+	if !c.isClient() || !c.hasNewInput || c.endReason != "" {
 		return
 	}
 	if n, err := c.peek(); n == 0 && err == nil {
-		c.broke(PeerClosed)
+		c.recordEnd(PeerClosed)
 	}
 }
 
-// peek looks for a byte that stands unread at the socket: none and no error is its end.
+// peek looks for a byte in the socket. It returns 0 and no error at the end of the stream.
 func (c *Conn) peek() (n int, err error) {
 	var b [1]byte
 	n, _, err = unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n, err
 }
 
-// nothingUnread tells whether neither a byte nor the end stands unread at the socket.
-func (c *Conn) nothingUnread() bool {
+// socketEmpty reports whether the socket has neither input nor the end of the stream.
+func (c *Conn) socketEmpty() bool {
 	_, err := c.peek()
 	return err == unix.EAGAIN
 }
 
-// IsPaused tells whether nothing is read for now.
+// IsPaused reports whether reading is paused.
 func (c *Conn) IsPaused() bool { return c.paused }
 
-// SetPaused stops reading, or starts it again. What comes meanwhile may have come from the pause on.
+// SetPaused stops or resumes reading. Input that arrives during a pause counts as having arrived when the pause
+// began.
 func (c *Conn) SetPaused(on bool) {
-	if c.paused == on || c.status != up {
+	if c.paused == on || c.status != established {
 		return
 	}
 	c.paused = on
-	c.first = 0 // this process has it wait for the other side's sake
+	c.waitingSince = 0 // waiting is due to the peer from here on
 	switch {
-	case !c.fromClient(): // nobody asks when an answer came
+	case !c.isClient(): // nobody needs the arrival time of an answer
 	case on:
-		c.unreadSince(c.loop.least())
-	case c.nothingUnread():
-		c.unread = 0
+		c.noteUnread(c.loop.conservativeArrival())
+	case c.socketEmpty():
+		c.unreadFrom = 0
 	}
-	c.interest()
+	c.updateEvents()
 }
 
-// unreadSince notes the earliest time at which what stands unread at the socket can have come, unless an earlier one is known.
-func (c *Conn) unreadSince(at float64) {
-	if c.unread == 0 {
-		c.unread = at
+// noteUnread records the earliest time in Unix ms at which input in the socket can have arrived, unless an
+// earlier one is known.
+func (c *Conn) noteUnread(at float64) {
+	if c.unreadFrom == 0 {
+		c.unreadFrom = at
 	}
 }
 
-// read takes what has come.
+// read reads from the socket up to maxReadBytes, and records the input's arrival time.
 func (c *Conn) read() {
-	waits := c.readWaits()
-	if waits && c.unread == 0 && c.nothingUnread() { // what will come must not count from this look
+	waits := c.mustDeferRead()
+	if waits && c.unreadFrom == 0 && c.socketEmpty() { // later input must not count as having arrived now
 		return
 	}
-	c.unreadSince(c.loop.least())
-	if c.first == 0 {
-		c.first = c.loop.EarliestArrival()
+	c.noteUnread(c.loop.conservativeArrival())
+	if c.waitingSince == 0 {
+		c.waitingSince = c.loop.EarliestArrival()
 	}
 	if waits {
 		return
 	}
-	if !c.fresh {
-		c.ArrivedAt, c.heard = c.unread, c.first
+	if !c.hasNewInput {
+		c.ArrivedAt, c.inputSince = c.unreadFrom, c.waitingSince
 	}
-	c.unread, c.first = 0, 0
-	for got := 0; got < readMost; {
+	c.unreadFrom, c.waitingSince = 0, 0
+	for got := 0; got < maxReadBytes; {
 		b := c.In.tail()
 		n, err := unix.Read(c.fd, b.data[b.w:])
 		switch {
@@ -109,49 +112,49 @@
 		case n > 0:
 			b.w += n
 			c.In.size += n
-			c.took += uint64(n)
+			c.bytesRead += uint64(n)
 			got += n
-			c.fresh = true
-			c.noted()
+			c.hasNewInput = true
+			c.markReady()
 			if b.w < BufferSize {
 				return
 			}
 			continue
 		case err == unix.EAGAIN:
 		case err != nil:
-			c.broke(Reset)
+			c.recordEnd(Reset)
 		default:
-			c.broke(PeerClosed)
+			c.recordEnd(PeerClosed)
 		}
 		c.In.trim()
 		return
 	}
 }
 
-// readWaits tells whether what a client has sent has to wait at its socket: for what was read before it, since one read then
-// takes more, or for memory, since a round that read from all would go over it before anything is let go of.
-func (c *Conn) readWaits() bool {
+// mustDeferRead reports whether a client's input stays in the socket: until earlier input is delivered, or
+// until the pool has room.
+func (c *Conn) mustDeferRead() bool {
 	switch {
-	case !c.fromClient():
+	case !c.isClient():
 		return false
-	case c.news && c.fresh:
+	case c.inReadyList && c.hasNewInput:
 		return true
 	}
-	return c.status == up && c.loop.Pool.IsFull()
+	return c.status == established && c.loop.Pool.IsFull()
 }
 
-// ScheduleReceive has the owner look in the next round at what stands in In.
+// ScheduleReceive delivers In to the handler again in the next round; its waiting time starts now.
 func (l *Loop) ScheduleReceive(c *Conn) {
-	if !c.fresh {
-		c.heard = l.now
+	if !c.hasNewInput {
+		c.inputSince = l.now
 	}
 	l.DeferReceive(c)
 }
 
-// DeferReceive does the same for what the owner had no time for in this round: it waits on.
+// DeferReceive is ScheduleReceive for input that the handler had no time for: its waiting time continues.
 func (l *Loop) DeferReceive(c *Conn) {
-	if c.status == up {
-		c.fresh = true
-		c.noted()
+	if c.status == established {
+		c.hasNewInput = true
+		c.markReady()
 	}
 }
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sockaddr is an address in the kernel's form.
+// sockaddr converts an address to the kernel's form and its address family.
 func sockaddr(a netip.AddrPort) (unix.Sockaddr, int) {
 	if ip := a.Addr().Unmap(); ip.Is4() {
 		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: ip.As4()}, unix.AF_INET
@@ -15,18 +15,17 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}, unix.AF_INET6
 }
 
-// open makes a socket for an address.
-func open(a netip.AddrPort) (fd int, sa unix.Sockaddr, err error) {
+// newSocket creates a non-blocking TCP socket for an address.
+func newSocket(a netip.AddrPort) (fd int, sa unix.Sockaddr, err error) {
 	sa, family := sockaddr(a)
 	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	return fd, sa, err
 }
 
-// listen opens a listening socket. The connections that come through it have kernel buffers of so many
-// bytes: where clients are slow to read, large ones would be memory that no count here shows. A shared address may be
-// listened on by several processes.
-func listen(a netip.AddrPort, kernel int, shared bool) (int, error) {
-	fd, sa, err := open(a)
+// listen opens a listening socket. Accepted connections inherit kernel buffers of bufferBytes per direction,
+// which bounds memory where clients read slowly. A shared address may have listeners of several processes.
+func listen(a netip.AddrPort, bufferBytes int, shared bool) (int, error) {
+	fd, sa, err := newSocket(a)
 	if err != nil {
 		return -1, fmt.Errorf("socket: %w", err)
 	}
@@ -34,8 +33,8 @@
 		if shared {
 			unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		}
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernel)
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernel)
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, bufferBytes)
+		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, bufferBytes)
 		if err = unix.Bind(fd, sa); err == nil {
 			err = unix.Listen(fd, backlog)
 		}
@@ -47,12 +46,12 @@
 	return fd, nil
 }
 
-// dial begins a connection.
+// dial starts to connect.
 func dial(a netip.AddrPort) (int, error) {
 	if !a.IsValid() {
 		return -1, unix.EADDRNOTAVAIL
 	}
-	fd, sa, err := open(a)
+	fd, sa, err := newSocket(a)
 	if err != nil {
 		return -1, err
 	}
@@ -64,8 +63,8 @@
 	return fd, nil
 }
 
-// lastReceived is for how many ms nothing has come on a connection; 0 where the system does not tell.
-func lastReceived(fd int) float64 {
+// sinceLastReceived returns for how many ms nothing has arrived on a connection; 0 if the system does not tell.
+func sinceLastReceived(fd int) float64 {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0
@@ -73,8 +72,8 @@
 	return float64(info.Last_data_recv)
 }
 
-// pending takes the error that a socket holds.
-func pending(fd int) error {
+// socketError returns and clears the socket's pending error.
+func socketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
 		return err
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -2,13 +2,15 @@
 
 import "slices"
 
-// makeRoom closes a connection that nothing is owed on, if there is one. Those on which nothing of use has ever come go first,
-// once they have had time for it or where they are many: a flood of them must not cost the others theirs.
+// makeRoom evicts a connection and reports whether it could. Unproven connections go first once their grace
+// period is over or if they are many, so that a flood of them does not evict others; then the connection idle
+// longest.
 func (l *Loop) makeRoom() bool {
 	var oldest, unproven *Conn
 	n := 0
 	for _, c := range l.conns {
-		if c == nil || c.status != up && c.status != halfClosing || c.why != "" || c.fresh || c.EvictionClass == nil || c.reserved() {
+		if c == nil || c.status != established && c.status != halfClosing || c.endReason != "" || c.hasNewInput ||
+			c.EvictionClass == nil || c.usesReserve() {
 			continue
 		}
 		switch c.EvictionClass() {
@@ -22,35 +24,35 @@
 			}
 		}
 	}
-	if unproven != nil && (l.now-unproven.CreatedAt > unprovenFor || n > l.most/unprovenShare || oldest == nil) {
+	if unproven != nil && (l.now-unproven.CreatedAt > unprovenGrace || n > l.maxSockets/unprovenDivisor || oldest == nil) {
 		oldest = unproven
 	}
 	if oldest == nil {
 		return false
 	}
-	if n, _ := oldest.peek(); n > 0 { // something has come on it just now: closing it would lose that, and what it was sent
-		if oldest.read(); oldest.fresh { // it is not where memory is full
+	if n, _ := oldest.peek(); n > 0 { // closing it now would lose input, and answers in transit
+		if oldest.read(); oldest.hasNewInput { // false if memory is full
 			return l.makeRoom()
 		}
 	}
-	l.shed(oldest)
+	l.evict(oldest)
 	return true
 }
 
-// shed closes a connection at once: many may be accepted in a round.
-func (l *Loop) shed(c *Conn) {
+// evict closes a connection and its descriptor at once, so that many can be accepted in a round.
+func (l *Loop) evict(c *Conn) {
 	c.Handler.Ended(c, Evicted)
 	c.Close(Evicted)
-	l.drop(c)
+	l.closeSocket(c)
 }
 
-// HasUnsent tells whether a connection that is to end has still something to send.
+// HasUnsent reports whether a half-closed connection still has output.
 func (l *Loop) HasUnsent() bool {
 	return slices.ContainsFunc(l.conns, func(c *Conn) bool { return c != nil && c.status == halfClosing && c.Out.Len() > 0 })
 }
 
-// SetMaxSockets sets how many sockets may be open, beside the spare ones; what is open stays.
-func (l *Loop) SetMaxSockets(sockets int) { l.most = sockets }
+// SetMaxSockets sets the limit of open sockets, not counting reserved descriptors. Open ones are not closed.
+func (l *Loop) SetMaxSockets(sockets int) { l.maxSockets = sockets }
 
-// SocketUsage is how many are open, and how many may be.
-func (l *Loop) SocketUsage() (open, most int) { return l.open, l.most }
+// SocketUsage returns the number of open sockets and its limit.
+func (l *Loop) SocketUsage() (open, limit int) { return l.openSockets, l.maxSockets }
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -2,20 +2,20 @@
 
 import "larchthread/internal/timerqueue"
 
-// Timer calls back once when its time has come. The zero Timer with its Fire set is ready for use.
+// Timer calls Fire once when it is due. The zero value with Fire set is ready for use.
 type Timer struct {
 	Fire func()
 	timerqueue.Timer
 }
 
-// SetTimer lets t fire after that many ms; an earlier setting of t is void.
-func (l *Loop) SetTimer(t *Timer, after float64) { l.timers.Set(t, l.now+max(after, 0)) }
+// SetTimer schedules t in delay ms and replaces an earlier schedule.
+func (l *Loop) SetTimer(t *Timer, delay float64) { l.timers.Set(t, l.now+max(delay, 0)) }
 
-// StopTimer voids the setting of t, if there is one.
+// StopTimer cancels t if it is scheduled.
 func (l *Loop) StopTimer(t *Timer) { l.timers.Stop(t) }
 
-// fire calls back the timers that are due. One set meanwhile waits for the next round.
-func (l *Loop) fire() {
+// fireDue fires the timers that are due. Timers set meanwhile wait for the next round.
+func (l *Loop) fireDue() {
 	last := l.timers.Seq()
 	for t, due := l.timers.DueOf(l.now, last); due; t, due = l.timers.DueOf(l.now, last) {
 		t.Fire()
