--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// echo gives back what comes, and notes what happens.
-type echo struct {
+// echoHandler echoes lines and records events.
+type echoHandler struct {
 	loop *Loop
 	note func(form string, args ...any)
 }
 
-func (e *echo) Received(c *Conn) {
-	line, whole := c.In.ReadLine()
-	if !whole {
+// Received implements ConnHandler.
+func (e *echoHandler) Received(c *Conn) {
+	line, complete := c.In.ReadLine()
+	if !complete {
 		return
 	}
 	e.note("received %q", line)
@@ -31,11 +32,12 @@
 	c.Flush()
 }
 
-func (e *echo) Ended(c *Conn, why Reason) { e.note("ended %s", why) }
+// Ended implements ConnHandler.
+func (e *echoHandler) Ended(c *Conn, reason Reason) { e.note("ended %s", reason) }
 
-// serve runs a loop with an echo at its listener until the returned function is called, which gives what was noted and
-// the reasons in the log. The loop does what it is given in its first round.
-func serve(first func(l *Loop, at netip.AddrPort)) (netip.AddrPort, func() string) {
+// serveEcho runs a loop with an echo server and calls first in its first round. The returned function stops the
+// loop and returns the recorded events and the logged reasons.
+func serveEcho(first func(l *Loop, at netip.AddrPort)) (netip.AddrPort, func() string) {
 	var log bytes.Buffer
 	l, err := NewLoop(256, 64<<20, slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
@@ -43,8 +45,10 @@
 	}
 	at := unusedAddress()
 	var notes []string
-	e := &echo{loop: l, note: func(form string, args ...any) { notes = append(notes, fmt.Sprintf(form, args...)) }}
-	if _, err := l.Listen("client", at, 0, func(c *Conn) { c.Handler, c.EvictionClass = e, func() EvictionClass { return Idle } }); err != nil {
+	e := &echoHandler{loop: l, note: func(form string, args ...any) { notes = append(notes, fmt.Sprintf(form, args...)) }}
+	if _, err := l.Listen("client", at, 0, func(c *Conn) {
+		c.Handler, c.EvictionClass = e, func() EvictionClass { return Idle }
+	}); err != nil {
 		panic(err)
 	}
 	stop, done := make(chan bool, 1), make(chan bool)
@@ -77,10 +81,10 @@
 	}
 }
 
-// A connection's end is told to its owner once, and logged once with its reason. One that this side finishes still
-// delivers its answer when input comes that nobody reads.
+// A connection's end is delivered once and logged once with its reason. HalfClose still delivers the answer
+// when more input arrives that nobody reads.
 func ExampleLoop() {
-	at, stop := serve(nil)
+	at, stop := serveEcho(nil)
 	first, _ := net.Dial("tcp", at.String())
 	first.Write([]byte("one\n"))
 	var b [64]byte
@@ -110,16 +114,19 @@
 	// log stopping client
 }
 
-// dialer notes what becomes of the connections that it has opened.
-type dialer struct{ ends chan Reason }
+// dialHandler records the ends of the connections that it has opened.
+type dialHandler struct{ ends chan Reason }
 
-func (d *dialer) Received(*Conn)            {}
-func (d *dialer) Ended(c *Conn, why Reason) { d.ends <- why }
+// Received implements ConnHandler.
+func (d *dialHandler) Received(*Conn) {}
 
-// A connection that is refused, or has no address, ends without ever having been up.
+// Ended implements ConnHandler.
+func (d *dialHandler) Ended(c *Conn, reason Reason) { d.ends <- reason }
+
+// A connection that is refused or has no address ends without having been established.
 func ExampleLoop_Dial() {
-	d := &dialer{make(chan Reason, 2)}
-	_, stop := serve(func(l *Loop, at netip.AddrPort) {
+	d := &dialHandler{make(chan Reason, 2)}
+	_, stop := serveEcho(func(l *Loop, at netip.AddrPort) {
 		l.Dial("host", netip.AddrPortFrom(at.Addr(), 1), d)
 		l.Dial("host", netip.AddrPort{}, d)
 	})
@@ -131,13 +138,14 @@
 	// log connect-failed host
 }
 
-// reader looks whether its connection is quiet, before and after more has come that was not gathered.
-type reader struct {
+// quietChecker calls IsQuiet before and after more input arrives that the loop has not collected.
+type quietChecker struct {
 	other chan net.Conn
 	quiet chan bool
 }
 
-func (r *reader) Received(c *Conn) {
+// Received implements ConnHandler.
+func (r *quietChecker) Received(c *Conn) {
 	c.In.Free()
 	r.quiet <- c.IsQuiet()
 	(<-r.other).Write([]byte("more"))
@@ -145,14 +153,17 @@
 	r.quiet <- c.IsQuiet()
 	c.Close(UnexpectedInput)
 }
-func (r *reader) Ended(*Conn, Reason) {}
 
-// Noise behind an answer is seen before a connection is used again, also where it has not been gathered yet.
+// Ended implements ConnHandler.
+func (r *quietChecker) Ended(*Conn, Reason) {}
+
+// Unexpected input after an answer is noticed before the connection is reused, even if the loop has not
+// collected it.
 func ExampleConn_IsQuiet() {
 	listener, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer listener.Close()
-	r := &reader{make(chan net.Conn, 1), make(chan bool, 2)}
-	_, stop := serve(func(l *Loop, _ netip.AddrPort) {
+	r := &quietChecker{make(chan net.Conn, 1), make(chan bool, 2)}
+	_, stop := serveEcho(func(l *Loop, _ netip.AddrPort) {
 		l.Dial("host", listener.Addr().(*net.TCPAddr).AddrPort(), r)
 	})
 	other, _ := listener.Accept()
@@ -165,8 +176,8 @@
 	// log not-quiet host
 }
 
-// Timers fire in the order of their times, those of one time in the order in which they were set, and one that is
-// set again or stopped does not fire for what it was set to before.
+// Timers fire in the order of their times, and in the order of setting for equal times. A timer that is set
+// again or stopped does not fire at its earlier time.
 func ExampleLoop_SetTimer() {
 	l, _ := NewLoop(256, 64<<20, slog.New(slog.DiscardHandler))
 	var all [5]Timer
@@ -181,7 +192,7 @@
 	for range 4 {
 		l.now += 10
 		fmt.Println("round")
-		l.fire()
+		l.fireDue()
 	}
 	// Output:
 	// round
@@ -194,6 +205,7 @@
 	// timer 3
 }
 
+// A limit that is used up by the reserved descriptors is an error.
 func ExampleNewLoop() {
 	_, err := NewLoop(20, 64<<20, slog.New(slog.DiscardHandler))
 	fmt.Println(err)
