--- a/internal/routing/client.go
+++ b/internal/routing/client.go
@@ -166,8 +166,8 @@
 // share of the round or its limits are used up.
 func (c *client) Received(conn *transport.Conn) {
 	conn.LastUsed = c.router.loop.Now()
-	if f := c.headStream(); f != nil {
-		f.advance()
+	if vs := c.headStream(); vs != nil {
+		vs.advance()
 		if c.removed {
 			return
 		}
--- a/internal/routing/host_pool.go
+++ b/internal/routing/host_pool.go
@@ -36,8 +36,8 @@
 }
 
 // add creates a host and registers it.
-func (p *hostPool) add(id string, origin bool) *host {
-	h := &host{Host: balance.Host{Name: id, IsOrigin: origin}}
+func (p *hostPool) add(id string, isOrigin bool) *host {
+	h := &host{Host: balance.Host{Name: id, IsOrigin: isOrigin}}
 	h.Ref = h
 	p.byID[id] = h
 	return h
--- a/internal/routing/link.go
+++ b/internal/routing/link.go
@@ -29,9 +29,8 @@
 // silent it always opens a new one: older connections may be dead, or break under a push without telling
 // whether it ran.
 //
-// A second answer to one push must not be taken for the answer to the next. Where the answers carry no id, as
-// those of the origin, or where the push must not be repeated, requireRest demands a connection that has been
-// idle for longer than duplicateAnswerWindow.
+// A second answer to one push must not be taken for the answer to the next. For the origin, and with requireRest,
+// an idle connection is therefore used only after more than duplicateAnswerWindow.
 func (h *host) acquireConn(r *Router, requireRest bool) *hostConn {
 	if h.silent {
 		h.closeIdle(transport.HostSilent)
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// assign gives the connection a push, which is written at the end of this round or once the connection is up.
+// assign gives the connection a push, which is written at the end of this round or once the connection is open.
 func (hc *hostConn) assign(p *push) {
 	hc.push, p.hostConn, hc.gotInput = p, hc, false
 	hc.host.pushes = append(hc.host.pushes, p)
@@ -225,7 +224,7 @@
 func (hc *hostConn) handleAnswer(a *protocol.Answer) {
 	p, op := hc.push, hc.push.op
 	sent := p.isSent()
-	if !a.Matches(op.command) || !sent && a.Kind <= protocol.Miss { // a command not sent in full can't have succeeded
+	if !a.Matches(op.command) || !sent && a.Kind <= protocol.Miss { // a command not sent in full can't have been served
 		a.Value.Free()
 		hc.fail(transport.WrongAnswer, balance.InvalidAnswer)
 		return
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -10,7 +10,7 @@
 // ConnHandler receives the events of a connection.
 type ConnHandler interface {
 	Received(c *Conn)             // c.In holds new input
-	Ended(c *Conn, reason Reason) // the peer or the network ended it; not called after Close
+	Ended(c *Conn, reason Reason) // the peer, the network or an eviction ended it; not called after Close
 }
 
 // EvictionClass tells whether a connection may be closed to make room for others.
@@ -79,7 +79,7 @@
 	}
 }
 
-// Flush writes Out at the end of the round.
+// Flush writes Out at the end of the round, or once the connection is established.
 func (c *Conn) Flush() {
 	c.LastUsed = c.loop.now
 	c.queueWrite()
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	BufferSize     = 16 << 10       // bytes of each buffer: most messages fit into one
+	BufferSize     = 16 << 10       // bytes of a buffer: most messages fit into one
 	maxFreeBuffers = 512            // 8 MB; further free buffers are left to the garbage collector
 	maxReadBytes   = 5 * BufferSize // bytes read from a connection in one round: the largest value and its command line
 
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -2,7 +2,7 @@
 
 import "larchthread/internal/timerqueue"
 
-// Timer calls Fire once when it is due. The zero value with Fire set is ready for use.
+// Timer calls Fire once when it is due, on the loop's goroutine. The zero value with Fire set is ready for use.
 type Timer struct {
 	Fire func()
 	timerqueue.Timer
