--- a/balance/blame_test.go
+++ b/balance/blame_test.go
@@ -2,146 +2,148 @@
 
 import "fmt"
 
-// An error blames its host only once another host takes the op. Two hosts that agree show that the op is at fault: it is
-// given up, and neither rests. So ops that any host fails, whatever they share, shut out no host and narrow no gate. Once
-// second hosts have agreed for a while the first one's word is enough, for all but one in ten; and when a host begins to
-// fail of itself meanwhile, these soon tell.
+// A failed op counts against its host only if another host serves it. An op that two hosts fail is given up
+// and neither host is blamed; while second hosts keep agreeing, most ops are given up at the first error. A
+// host that starts to fail by itself is still detected.
 func Example_hostsNotBlamedForBadOps() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	before := x.fleetLimiter.limit
-	x.sendOp("bad", 0, "page", 500, false)
-	x.finish("bad", Failed, 1)
-	x.finish("bad", Failed, 1)
-	x.silent = true
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	before := sim.fleetLimiter.limit
+	sim.sendOp("bad", 0, "page", 500, false)
+	sim.finish("bad", Failed, 1)
+	sim.finish("bad", Failed, 1)
+	sim.silent = true
 	pushes := 0
 	for i := range 40 {
 		name := fmt.Sprint("bad", i)
-		for p := pendingPush(x.sendOp(name, 0, name, 500, false)); p != nil; p = pendingPush(p.Op) {
+		for p := pendingPush(sim.sendOp(name, 0, name, 500, false)); p != nil; p = pendingPush(p.Op) {
 			pushes++
-			x.finishPush(p, Failed, 1)
+			sim.finishPush(p, Failed, 1)
 		}
-		x.advance(5)
+		sim.advance(5)
 	}
-	_, avoided := x.HostCounts()
-	fmt.Println("avoided:", avoided, "gate narrowed:", x.fleetLimiter.limit < before, "pushes of 40 such ops:", pushes)
+	_, avoided := sim.HostCounts()
+	fmt.Println("avoided:", avoided, "limit reduced:", sim.fleetLimiter.limit < before,
+		"pushes of 40 such ops:", pushes)
 	lost := 0
 	for i := 0; avoided == 0; i++ {
-		op := x.sendOp(fmt.Sprint("good", i), 0, "page", 500, false)
+		op := sim.sendOp(fmt.Sprint("good", i), 0, "page", 500, false)
 		for p := pendingPush(op); p != nil; p = pendingPush(op) {
-			x.finishPush(p, map[bool]Outcome{true: Failed, false: Served}[p.Host.Name == "c"], 1)
+			sim.finishPush(p, map[bool]Outcome{true: Failed, false: Served}[p.Host.Name == "c"], 1)
 		}
 		if !op.acked {
 			lost++
 		}
-		x.advance(5)
-		_, avoided = x.HostCounts()
+		sim.advance(5)
+		_, avoided = sim.HostCounts()
 	}
 	fmt.Println("avoided:", avoided, "ops given up before:", lost)
 	// Output:
 	// 0 push bad to c
 	//    0 push bad to d
 	//    0 nack bad
-	// avoided: 0 gate narrowed: false pushes of 40 such ops: 48
+	// avoided: 0 limit reduced: false pushes of 40 such ops: 48
 	// avoided: 1 ops given up before: 1
 }
 
-// Most hosts lose a third of their answers, each by a reset. Those serve on, and one that loses all is shut out.
-func Example_commonResetsExcludeOnlyWorstHost() {
-	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
-	x.silent = true
+// Where most hosts lose a third of their answers to resets, they stay in use; only the host that loses all is
+// ejected.
+func Example_commonResetsEjectOnlyWorstHost() {
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
+	sim.silent = true
 	n, all := 0, 0.0
 	for range 2000 {
 		n++
 		name := fmt.Sprint("op", n)
-		for p := pendingPush(x.sendOp(name, 0, name, 500, false)); p != nil; p = pendingPush(p.Op) {
+		for p := pendingPush(sim.sendOp(name, 0, name, 500, false)); p != nil; p = pendingPush(p.Op) {
 			if p.Host.Name == "f" || p.Host.Name != "a" && n%3 == 0 {
-				x.finishPush(p, ConnBroken, 5)
+				sim.finishPush(p, ConnBroken, 5)
 				continue
 			}
-			x.finishPush(p, Served, 5)
+			sim.finishPush(p, Served, 5)
 		}
-		x.advance(5)
-		_, avoided := x.HostCounts()
+		sim.advance(5)
+		_, avoided := sim.HostCounts()
 		all += float64(avoided)
 	}
-	fmt.Printf("avoided of six: %.1f; pushes to the worst: %v\n", all/2000, x.pushes["f"])
+	fmt.Printf("avoided of six: %.1f; pushes to the worst: %v\n", all/2000, sim.pushes["f"])
 	// Output:
 	// avoided of six: 0.7; pushes to the worst: 11
 }
 
-// When a host in use goes down, what balancers had out there together may be why: for a minute the bound
-// has no floor of two.
+// When a host in use goes down, the load that all balancers had there may be the cause: for a minute the
+// bound has no floor of two, so ops spread over more hosts.
 func Example_boundWithoutFloorAfterHostDown() {
-	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f", "g", "h")
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "e", "f", "g", "h")
 	spread := func() int {
-		x.pushes = map[string]int{}
+		sim.pushes = map[string]int{}
 		for i := range 3 {
-			x.sendOp(fmt.Sprint("op", i), 0, "page", 500, false)
+			sim.sendOp(fmt.Sprint("op", i), 0, "page", 500, false)
 		}
-		hosts := len(x.pushes)
+		hosts := len(sim.pushes)
 		for i := range 3 {
-			x.finish(fmt.Sprint("op", i), Served, 10)
+			sim.finish(fmt.Sprint("op", i), Served, 10)
 		}
 		return hosts
 	}
-	x.silent = true
-	x.advance(10)
+	sim.silent = true
+	sim.advance(10)
 	fmt.Println("hosts of three ops:", spread())
-	h := x.sendOp("fallen", 0, "page", 500, false).pushes[0].Host
-	x.finish("fallen", ConnectFailed, 1) // it answered a moment ago
-	x.finish("fallen", Served, 1)
-	x.advance(1000)
-	fmt.Println("after a fall:", spread())
-	x.advance(62000)
+	h := sim.sendOp("fallen", 0, "page", 500, false).pushes[0].Host
+	sim.finish("fallen", ConnectFailed, 1) // it answered a moment ago
+	sim.finish("fallen", Served, 1)
+	sim.advance(1000)
+	fmt.Println("after a failure:", spread())
+	sim.advance(62000)
 	fmt.Println("a minute later:", spread())
-	x.updateHost(h.Name, Ready, x.t) // a new process of it
-	x.advance(6000)
-	fmt.Println("after a restart that the list tells:", spread())
+	sim.updateHost(h.Name, Ready, sim.clock) // its process has restarted
+	sim.advance(6000)
+	fmt.Println("after a listed restart:", spread())
 	// Output:
 	// hosts of three ops: 2
-	// after a fall: 3
+	// after a failure: 3
 	// a minute later: 2
-	// after a restart that the list tells: 3
+	// after a listed restart: 3
 }
 
-// One key's answers never come through while its hosts serve others. It gets one place, and what finds none is nacked at
-// once; others are pushed as ever. Once its answers come in time again it is free.
+// A key whose answers never arrive, while its hosts serve other keys, gets one push at a time; its other ops
+// are nacked at once. Other keys are not affected, and the limit ends once the key's answers are in time
+// again.
 func Example_stuckKeyLimitedToOnePush() {
-	s := testConfig()
-	s.ReplySlots = 10
-	x := newHarness(s, "a", "b", "c", "d")
+	cfg := testConfig()
+	cfg.ReplySlots = 10
+	sim := newHarness(cfg, "a", "b", "c", "d")
 	n := 0
 	round := func(stuck bool) {
 		n++
-		x.sendOp("stuck", 0, "page", 500, false)
+		sim.sendOp("stuck", 0, "page", 500, false)
 		for i := range 8 {
-			x.sendOp(fmt.Sprint("op", i), 0, fmt.Sprint("leaf", n, i), 500, false)
+			sim.sendOp(fmt.Sprint("op", i), 0, fmt.Sprint("leaf", n, i), 500, false)
 		}
 		for i := range 8 {
-			x.advance(3)
-			x.finish(fmt.Sprint("op", i), Served, float64(3*i+3))
+			sim.advance(3)
+			sim.finish(fmt.Sprint("op", i), Served, float64(3*i+3))
 		}
 		if !stuck {
-			x.finish("stuck", Served, 24)
+			sim.finish("stuck", Served, 24)
 		}
-		x.advance(100)
+		sim.advance(100)
 	}
-	x.silent = true
+	sim.silent = true
 	for range 60 {
 		round(true)
 	}
-	x.silent = false
-	x.sendOp("one", 0, "page", 500, false)
-	x.sendOp("two", 0, "page", 500, false)
-	x.sendOp("other", 0, "leaf", 500, false)
-	x.silent = true
-	x.finish("one", Served, 10)
+	sim.silent = false
+	sim.sendOp("one", 0, "page", 500, false)
+	sim.sendOp("two", 0, "page", 500, false)
+	sim.sendOp("other", 0, "leaf", 500, false)
+	sim.silent = true
+	sim.finish("one", Served, 10)
 	for range 30 {
 		round(false)
 	}
-	x.silent = false
-	x.sendOp("three", 0, "page", 500, false)
-	x.sendOp("four", 0, "page", 500, false)
+	sim.silent = false
+	sim.sendOp("three", 0, "page", 500, false)
+	sim.sendOp("four", 0, "page", 500, false)
 	// Output:
 	// 7440 push one to d
 	// 7440 nack two
@@ -150,15 +152,15 @@
 	// 11160 push four to c
 }
 
-// A slow fetch is not called off: the one origin is at work on it all the same, and would only be asked again.
+// A slow fetch is not cancelled: there is one origin, and it would only be asked again.
 func Example_slowFetchNotCancelled() {
-	s := testConfig()
-	s.CacheAside = true
-	x := newHarness(s, "a", "b", "origin")
-	x.sendOp("op", 0, "page", 500, false)
-	x.finish("op", CacheMiss, 1)
-	x.advance(400)
-	x.finish("op", Served, 400)
+	cfg := testConfig()
+	cfg.CacheAside = true
+	sim := newHarness(cfg, "a", "b", "origin")
+	sim.sendOp("op", 0, "page", 500, false)
+	sim.finish("op", CacheMiss, 1)
+	sim.advance(400)
+	sim.finish("op", Served, 400)
 	// Output:
 	// 0 push op to a
 	//    0 push op to origin
--- a/balance/fairness_test.go
+++ b/balance/fairness_test.go
@@ -4,32 +4,32 @@
 	"fmt"
 )
 
-// Under overload a tenant beyond its share gives way to one within it.
+// Under overload a tenant within its share is served before one that exceeds its share.
 func Example_overloadPrefersTenantWithinShare() {
-	s := testConfig()
+	cfg := testConfig()
 	big, small := &Tenant{Quota: 20}, &Tenant{Quota: 20}
-	s.Tenants = []*Tenant{big, small}
-	x := newHarness(s, "a")
-	x.silent = true
+	cfg.Tenants = []*Tenant{big, small}
+	sim := newHarness(cfg, "a")
+	sim.silent = true
 	served := map[*Tenant]int{}
-	var outs []*Op
+	var pending []*Op
 	for i := range 600 {
-		x.advance(5)
+		sim.advance(5)
 		t := big
 		if i%10 == 0 {
 			t = small
 		}
-		op := &Op{Category: x.Categories[0], Tenant: t, Key: "page", Deadline: x.t + 500}
-		x.OpArrived(op)
-		if outs = append(outs, op); i%3 != 0 {
+		op := &Op{Category: sim.Categories[0], Tenant: t, Key: "page", Deadline: sim.clock + 500}
+		sim.OpArrived(op)
+		if pending = append(pending, op); i%3 != 0 {
 			continue
 		}
-		for len(outs) > 0 && outs[0].inFlight == 0 {
-			outs = outs[1:]
+		for len(pending) > 0 && pending[0].inFlight == 0 {
+			pending = pending[1:]
 		}
-		if len(outs) > 0 {
-			x.PushEnded(pendingPush(outs[0]), Served, x.t-pendingPush(outs[0]).sentAt, true, nil)
-			served[outs[0].Tenant]++
+		if len(pending) > 0 {
+			sim.PushEnded(pendingPush(pending[0]), Served, sim.clock-pendingPush(pending[0]).sentAt, true, nil)
+			served[pending[0].Tenant]++
 		}
 	}
 	fmt.Println("big:", served[big], "of 540, small:", served[small], "of 60")
@@ -37,27 +37,28 @@
 	// big: 149 of 540, small: 51 of 60
 }
 
-// A tenant's share is reckoned from what this balancer gets acked: with a part of 1/100 of the quota one that carries far more
-// than its fellows once took all tenants for greedy. One that sends three times what the other does is found out in time.
+// A tenant's share is computed from the ops that this balancer gets acked. Measured against 1/100 of the
+// quota, every tenant of a busy balancer would exceed its share; here only the one that sends three times as
+// much does.
 func Example_heavyTenantDetectedInLargeGroup() {
-	s := testConfig()
-	s.GroupSize = 100
+	cfg := testConfig()
+	cfg.GroupSize = 100
 	fair, heavy := &Tenant{Quota: 100}, &Tenant{Quota: 100}
-	s.Tenants = []*Tenant{fair, heavy}
-	x := newHarness(s, "a", "b")
-	x.silent = true
+	cfg.Tenants = []*Tenant{fair, heavy}
+	sim := newHarness(cfg, "a", "b")
+	sim.silent = true
 	within := map[*Tenant]int{}
 	ask := func(t *Tenant) {
-		op := &Op{Category: x.Categories[0], Tenant: t, Deadline: x.t + 500}
-		if x.OpArrived(op); op.priority >= 1/op.Category.avgLatency {
+		op := &Op{Category: sim.Categories[0], Tenant: t, Deadline: sim.clock + 500}
+		if sim.OpArrived(op); op.priority >= 1/op.Category.avgLatency {
 			within[t]++
 		}
 		if p := pendingPush(op); p != nil {
-			x.PushEnded(p, Served, 5, true, nil)
+			sim.PushEnded(p, Served, 5, true, nil)
 		}
 	}
 	for range 10 {
-		x.advance(3000)
+		sim.advance(3000)
 		for range 3 {
 			ask(fair)
 		}
@@ -70,32 +71,32 @@
 	// fair: 30 of 30, heavy: 66 of 90
 }
 
-// An op counts for its tenant's share once it is acked. Of two within theirs the tenant further behind comes first: one that
-// sends three times its share would else have it all, for what is turned away of its ops others of them replace.
+// An op uses up its tenant's share only once it is acked. Of two tenants within their shares the one further
+// behind comes first; otherwise a tenant that sends three times its share would displace the other.
 func Example_tenantShareCountsAckedOps() {
-	s := testConfig()
+	cfg := testConfig()
 	greedy, modest := &Tenant{Quota: 50}, &Tenant{Quota: 50}
-	s.Tenants = []*Tenant{greedy, modest}
-	x := newHarness(s, "a")
+	cfg.Tenants = []*Tenant{greedy, modest}
+	sim := newHarness(cfg, "a")
 	arrive := func(t *Tenant, o Outcome) *Op {
-		op := &Op{Category: x.Categories[0], Tenant: t, Deadline: x.t + 500}
-		x.OpArrived(op)
-		x.PushEnded(pendingPush(op), o, 5, true, nil)
+		op := &Op{Category: sim.Categories[0], Tenant: t, Deadline: sim.clock + 500}
+		sim.OpArrived(op)
+		sim.PushEnded(pendingPush(op), o, 5, true, nil)
 		return op
 	}
-	x.silent = true
+	sim.silent = true
 	within := 0
 	for range 20 {
 		if arrive(modest, TimedOut).withinQuota {
 			within++
 		}
 	}
-	fmt.Println("of 20 that came to nothing, within the share:", within)
+	fmt.Println("of 20 timed-out ops, within the share:", within)
 	for range 5 {
 		arrive(greedy, Served)
 	}
 	fmt.Println("modest first:", arrive(modest, Served).priority > arrive(greedy, Served).priority)
 	// Output:
-	// of 20 that came to nothing, within the share: 20
+	// of 20 timed-out ops, within the share: 20
 	// modest first: true
 }
--- a/balance/fetch_test.go
+++ b/balance/fetch_test.go
@@ -5,21 +5,23 @@
 	"slices"
 )
 
+// newOriginHarness starts a balancer that fetches misses from the origin, with three cache hosts.
 func newOriginHarness() *harness {
-	s := testConfig()
-	s.CacheAside = true
-	return newHarness(s, "a", "b", "c", "origin")
+	cfg := testConfig()
+	cfg.CacheAside = true
+	return newHarness(cfg, "a", "b", "c", "origin")
 }
 
-// One fetch a key is out. Other ops of the key wait for it and then go to the host that holds it.
+// Only one fetch per key is in flight. Other ops of the key wait for it and then go to the host that holds
+// the key.
 func Example_oneFetchPerKey() {
-	x := newOriginHarness()
-	x.sendOp("op0", 0, "page", 500, false)
-	x.finish("op0", CacheMiss, 1)
-	x.sendOp("op1", 0, "page", 500, false)
-	x.sendOp("op2", 0, "page", 500, false)
-	x.finish("op0", Served, 20)
-	x.finish("op1", Served, 5)
+	sim := newOriginHarness()
+	sim.sendOp("op0", 0, "page", 500, false)
+	sim.finish("op0", CacheMiss, 1)
+	sim.sendOp("op1", 0, "page", 500, false)
+	sim.sendOp("op2", 0, "page", 500, false)
+	sim.finish("op0", Served, 20)
+	sim.finish("op1", Served, 5)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to origin
@@ -29,15 +31,16 @@
 	//    0 op1 acked
 }
 
-// When the op that leads a fetch goes away, the fetch passes to those that wait with all its benefit.
+// When the client of the op that leads a fetch leaves, a waiting op takes over the fetch with its full
+// priority.
 func Example_fetchHandedOverWhenLeaderLeaves() {
-	x := newOriginHarness()
-	x.sendOp("op0", 0, "page", 500, false)
-	x.finish("op0", CacheMiss, 1)
-	x.sendOp("op1", 0, "page", 500, false)
-	x.sendOp("op2", 0, "page", 500, false)
-	x.ClientLeft(x.ops["op0"])
-	x.finish("op1", Served, 20)
+	sim := newOriginHarness()
+	sim.sendOp("op0", 0, "page", 500, false)
+	sim.finish("op0", CacheMiss, 1)
+	sim.sendOp("op1", 0, "page", 500, false)
+	sim.sendOp("op2", 0, "page", 500, false)
+	sim.ClientLeft(sim.ops["op0"])
+	sim.finish("op1", Served, 20)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to origin
@@ -47,13 +50,14 @@
 	//    0 op1 acked
 }
 
-// The last push is kept for the origin: an op that found two hosts full would otherwise miss and end.
+// The last push is reserved for the origin; otherwise an op that found two hosts overloaded would miss at the
+// third and end unserved.
 func Example_lastPushReservedForOrigin() {
-	x := newOriginHarness()
-	x.sendOp("op0", 0, "page", 500, false)
-	x.finish("op0", Overloaded, 1)
-	x.finish("op0", Overloaded, 1)
-	x.finish("op0", Served, 20)
+	sim := newOriginHarness()
+	sim.sendOp("op0", 0, "page", 500, false)
+	sim.finish("op0", Overloaded, 1)
+	sim.finish("op0", Overloaded, 1)
+	sim.finish("op0", Served, 20)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to a
@@ -61,17 +65,18 @@
 	//    0 op0 acked
 }
 
-// A stopped origin holds up no hit, and its line is short: what can't be fetched in time is nacked.
+// A stalled origin delays no hits, and its queue stays short: fetches that cannot be answered in time are
+// nacked.
 func Example_stalledOriginDelaysNoHit() {
-	x := newOriginHarness()
+	sim := newOriginHarness()
 	for i := range 60 {
-		x.silent = i < 58
+		sim.silent = i < 58
 		name := fmt.Sprint("miss", i)
-		x.sendOp(name, 0, name, 500, false)
-		x.finish(name, CacheMiss, 1)
+		sim.sendOp(name, 0, name, 500, false)
+		sim.finish(name, CacheMiss, 1)
 	}
-	x.sendOp("hit", 0, "page", 500, false)
-	x.finish("hit", Served, 5)
+	sim.sendOp("hit", 0, "page", 500, false)
+	sim.finish("hit", Served, 5)
 	// Output:
 	// 0 push miss58 to a
 	//    0 nack miss58
@@ -81,30 +86,30 @@
 	//    0 hit acked
 }
 
-// A full origin that turns fetches away at once: 200 balancers with a miss each all the time let out few in
-// all, where one each would keep it full of fetches that come too late.
+// An origin at capacity rejects fetches at once. 200 balancers with steady misses send it few fetches in all,
+// where one each would keep it full of fetches that are answered too late.
 func Example_manyBalancersBackOffFromFullOrigin() {
-	s := testConfig()
-	s.CacheAside = true
-	all := newHarnesses(200, s, "a", "b", "c", "origin")
-	outs := make([][]*Op, len(all))
+	cfg := testConfig()
+	cfg.CacheAside = true
+	all := newHarnesses(200, cfg, "a", "b", "c", "origin")
+	pending := make([][]*Op, len(all))
 	for sec := range 3 {
 		fetches := 0
 		for t := range 50 {
-			for i, x := range all {
-				x.advance(20)
-				x.pushes["origin"] = 0
+			for i, sim := range all {
+				sim.advance(20)
+				sim.pushes["origin"] = 0
 				name := fmt.Sprint(sec, t, i)
-				if op := x.sendOp(name, 0, name, 500, false); op.inFlight > 0 && !pendingPush(op).Host.IsOrigin {
-					x.finish(name, CacheMiss, 1)
+				if op := sim.sendOp(name, 0, name, 500, false); op.inFlight > 0 && !pendingPush(op).Host.IsOrigin {
+					sim.finish(name, CacheMiss, 1)
 				}
-				outs[i] = slices.DeleteFunc(append(outs[i], x.ops[name]), (*Op).IsDone)
-				for _, op := range outs[i] {
+				pending[i] = slices.DeleteFunc(append(pending[i], sim.ops[name]), (*Op).IsDone)
+				for _, op := range pending[i] {
 					if op.inFlight > 0 && pendingPush(op).Host.IsOrigin {
-						x.PushEnded(pendingPush(op), Overloaded, 1, false, nil)
+						sim.PushEnded(pendingPush(op), Overloaded, 1, false, nil)
 					}
 				}
-				fetches += x.pushes["origin"]
+				fetches += sim.pushes["origin"]
 			}
 		}
 		fmt.Printf("second %d: %d fetches of 10000 misses\n", sec+1, fetches)
@@ -115,28 +120,28 @@
 	// second 3: 358 fetches of 10000 misses
 }
 
-// Fetches wait at a full origin until nobody waits for them, and it goes on with them for nothing. Where it has answered nobody
-// for a target the gate narrows by half, so that the origin can work off what stands there; where it answers others the op
-// may be a heavy one.
-func Example_originGateCutOnBacklog() {
+// Abandoned fetches stay in the origin's queue. If it has answered no fetch for a target latency, the limit
+// is halved so that the backlog can drain; if it answers others, the slow op may just be heavy and the limit
+// stays.
+func Example_originLimitCutOnBacklog() {
 	for _, answers := range []bool{false, true} {
-		s := testConfig()
-		s.CacheAside, s.GroupSize = true, 50
-		x := newHarness(s, "a", "b", "origin")
-		x.silent = true
+		cfg := testConfig()
+		cfg.CacheAside, cfg.GroupSize = true, 50
+		sim := newHarness(cfg, "a", "b", "origin")
+		sim.silent = true
 		fetch := func(name string) {
-			x.sendOp(name, 0, name, 200, false)
-			x.finish(name, CacheMiss, 1)
+			sim.sendOp(name, 0, name, 200, false)
+			sim.finish(name, CacheMiss, 1)
 		}
 		fmt.Print("answers others ", answers, ", limit")
 		for i := range 5 {
 			fetch(fmt.Sprint("stuck", i))
-			x.advance(150)
+			sim.advance(150)
 			if fetch(fmt.Sprint("other", i)); answers {
-				x.finish(fmt.Sprint("other", i), Served, 10)
+				sim.finish(fmt.Sprint("other", i), Served, 10)
 			}
-			x.advance(250)
-			fmt.Printf(" %.2f", x.originLimiter.limit)
+			sim.advance(250)
+			fmt.Printf(" %.2f", sim.originLimiter.limit)
 		}
 		fmt.Println()
 	}
@@ -145,77 +150,77 @@
 	// answers others true, limit 4.00 4.00 4.00 4.00 4.00
 }
 
-// Past a gate that turns ops away by chance few fetches go out, and each tells more: once two came in time it opens by
-// doubling, where some twenty had to before.
-func Example_originGateReopensAfterOverload() {
-	s := testConfig()
-	s.CacheAside, s.GroupSize = true, 100
-	x := newHarness(s, "a", "b", "origin")
-	x.silent = true
-	x.originLimiter.limit, x.originLimiter.congestion = 0.02, 2
+// A limit below one turns ops away at random, so few fetches go out. Each of their outcomes counts more then,
+// and the limit doubles with timely ones: it recovers after a few fetches.
+func Example_originLimitRecoversAfterOverload() {
+	cfg := testConfig()
+	cfg.CacheAside, cfg.GroupSize = true, 100
+	sim := newHarness(cfg, "a", "b", "origin")
+	sim.silent = true
+	sim.originLimiter.limit, sim.originLimiter.congestion = 0.02, 2
 	fetches := 0
-	for i := 0; x.originLimiter.limit < 1; i++ {
-		x.originLimiter.lastOutcome = x.t // it does not open by itself
+	for i := 0; sim.originLimiter.limit < 1; i++ {
+		sim.originLimiter.lastOutcome = sim.clock // keeps the limit from rising with time
 		name := fmt.Sprint("op", i)
-		x.sendOp(name, 0, name, 200, false)
-		x.finish(name, CacheMiss, 1)
-		if pendingPush(x.ops[name]) != nil {
-			x.finish(name, Served, 10)
+		sim.sendOp(name, 0, name, 200, false)
+		sim.finish(name, CacheMiss, 1)
+		if pendingPush(sim.ops[name]) != nil {
+			sim.finish(name, Served, 10)
 			fetches++
 		}
-		x.advance(1)
+		sim.advance(1)
 	}
 	fmt.Println("open after", fetches, "timely fetches")
 	// Output:
 	// open after 9 timely fetches
 }
 
-// Writes take longer than reads at the origin, and come on top of no miss. Judged by the goal of fetches, a usual write would
-// narrow the origin's gate with nothing wrong there; one that takes most of its target still does.
-func Example_originGateJudgesWritesByTarget() {
+// Writes take longer at the origin than fetches. A write of usual latency does not reduce the origin's limit;
+// one that takes most of its target does.
+func Example_originLimitAllowsSlowerWrites() {
 	for _, took := range []float64{45, 90} {
-		s := testConfig()
-		s.CacheAside = true
-		x := newHarness(s, "a", "origin")
-		x.silent = true
-		before := x.originLimiter.limit
+		cfg := testConfig()
+		cfg.CacheAside = true
+		sim := newHarness(cfg, "a", "origin")
+		sim.silent = true
+		before := sim.originLimiter.limit
 		for i := range 30 {
 			op := fmt.Sprint("op", i)
-			x.sendOp(op, 1, op, 500, true)
-			x.t += 200
-			x.Advance(x.t)
-			x.PushEnded(x.ops[op].pushes[0], Served, took, true, nil)
+			sim.sendOp(op, 1, op, 500, true)
+			sim.clock += 200
+			sim.Advance(sim.clock)
+			sim.PushEnded(sim.ops[op].pushes[0], Served, took, true, nil)
 		}
-		fmt.Println(took, "narrowed:", x.originLimiter.limit < before)
+		fmt.Println(took, "narrowed:", sim.originLimiter.limit < before)
 	}
 	// Output:
 	// 45 narrowed: false
 	// 90 narrowed: true
 }
 
-// Most pushes miss where hosts are many and keys few; such an answer tells how quick a host is as a hit does. By hits alone
-// one slow host in ten had narrowed the gate of all to a push or two, and ops waited while hosts had nothing to do.
+// Cache misses count as latency samples of their host as hits do. With hits alone, one slow host in ten would
+// reduce the limit of the whole fleet.
 func Example_missesCountAsHostLatency() {
-	s := testConfig()
-	s.CacheAside, s.GroupSize = true, 20
+	cfg := testConfig()
+	cfg.CacheAside, cfg.GroupSize = true, 20
 	names := []string{"origin"}
 	for i := range 20 {
 		names = append(names, fmt.Sprint("h", i))
 	}
-	x := newHarness(s, names...)
-	x.silent = true
+	sim := newHarness(cfg, names...)
+	sim.silent = true
 	for i := range 400 {
-		x.advance(40)
+		sim.advance(40)
 		name := fmt.Sprint("op", i)
-		x.sendOp(name, 0, name, 900, false)
+		sim.sendOp(name, 0, name, 900, false)
 		if i%10 == 0 {
-			x.finish(name, Served, 200)
+			sim.finish(name, Served, 200)
 			continue
 		}
-		x.finish(name, CacheMiss, 5)
-		x.finish(name, Served, 10)
+		sim.finish(name, CacheMiss, 5)
+		sim.finish(name, Served, 10)
 	}
-	fmt.Println("narrowed:", x.fleetLimiter.limit < 8)
+	fmt.Println("narrowed:", sim.fleetLimiter.limit < 8)
 	// Output:
 	// narrowed: false
 }
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// newHedgeHarness lets two pushes of an op be out.
+// newHedgeHarness starts a balancer that may have two pushes of an op in flight.
 func newHedgeHarness() *harness {
-	s := testConfig()
-	s.AllowHedging, s.MaxPushes = true, 4
-	return newHarness(s, "a", "b", "c", "d")
+	cfg := testConfig()
+	cfg.AllowHedging, cfg.MaxPushes = true, 4
+	return newHarness(cfg, "a", "b", "c", "d")
 }
 
-// A push that is out for long stays out, and a second copy goes to another host. The first good answer is the op's; the
-// other still teaches. What must not run twice has no copy, and neither has a deduplicated op whose group is one host's.
+// A slow push stays in flight while a hedge goes to another host. The first good answer settles the op, and
+// the other one still updates its host's statistics. Ops that no other host may run as well are not hedged.
 func Example_hedgeSlowPush() {
-	x := newHedgeHarness()
+	sim := newHedgeHarness()
 	for row, name := range []string{"read", "put", "once", "zoned"} {
-		x.sendOp(name, row, "page", 500, false)
+		sim.sendOp(name, row, "page", 500, false)
 	}
-	x.advance(101)
-	first, second := x.ops["read"].pushes[0], x.ops["read"].pushes[1]
-	x.finishPush(second, Served, 1)
-	x.finishPush(first, Served, 101)
-	fmt.Println("both over:", x.ops["read"].IsDone(), "learned:", second.Host.lastAnswer == x.t, first.Host.lastAnswer == x.t)
+	sim.advance(101)
+	first, second := sim.ops["read"].pushes[0], sim.ops["read"].pushes[1]
+	sim.finishPush(second, Served, 1)
+	sim.finishPush(first, Served, 101)
+	fmt.Println("both ended:", sim.ops["read"].IsDone(),
+		"learned:", second.Host.lastAnswer == sim.clock, first.Host.lastAnswer == sim.clock)
 	// Output:
 	// 0 push read to c
 	//    0 push put to c
@@ -32,54 +33,55 @@
 	//   50 push read to b
 	//   50 push put to d
 	//  101 read acked
-	// both over: true learned: true true
+	// both ended: true learned: true true
 }
 
-// Where all hosts are slow, copies stay a part of the ops.
+// When all hosts are slow, hedges stay a small share of the ops.
 func Example_hedgesCappedOnSlowFleet() {
-	x := newHedgeHarness()
-	x.silent = true
-	var outs []*Op
+	sim := newHedgeHarness()
+	sim.silent = true
+	var pending []*Op
 	for i := range 400 {
-		x.advance(5)
-		outs = append(outs, x.sendOp(fmt.Sprint("op", i), 0, fmt.Sprint("key", i), 900, false))
-		for _, op := range outs {
+		sim.advance(5)
+		pending = append(pending, sim.sendOp(fmt.Sprint("op", i), 0, fmt.Sprint("key", i), 900, false))
+		for _, op := range pending {
 			for _, p := range slices.Clone(op.pushes) {
-				if !p.ended && x.t-p.sentAt > 300 {
-					x.finishPush(p, Served, x.t-p.sentAt)
+				if !p.ended && sim.clock-p.sentAt > 300 {
+					sim.finishPush(p, Served, sim.clock-p.sentAt)
 				}
 			}
 		}
-		outs = slices.DeleteFunc(outs, (*Op).IsDone)
+		pending = slices.DeleteFunc(pending, (*Op).IsDone)
 	}
-	copies := 0
-	for _, op := range x.ops {
-		copies += max(0, len(op.pushes)-1)
+	hedges := 0
+	for _, op := range sim.ops {
+		hedges += max(0, len(op.pushes)-1)
 	}
-	fmt.Println("copies of 400 ops:", copies)
+	fmt.Println("copies of 400 ops:", hedges)
 	// Output:
 	// copies of 400 ops: 9
 }
 
-// The rules ask all pushes of an op. With one still out, a deduplicated op may be nacked inside its window and not after
-// it; the last push allowed has no copy; a host that began to drain gets none; a client with little time left is answered.
+// The repeat rules consider all pushes of an op. With one in flight, a deduplicated op may be nacked inside
+// its window but not after it; the last allowed push is not hedged; a draining host gets no hedge; an op is
+// settled before its deadline.
 func Example_repeatRulesCoverAllPushes() {
-	x := newHedgeHarness()
-	x.sendOp("in its window", 1, "page", 200, false)
-	x.sendOp("past it", 1, "atlas", 450, false)
-	x.advance(450)
+	sim := newHedgeHarness()
+	sim.sendOp("in its window", 1, "page", 200, false)
+	sim.sendOp("past it", 1, "atlas", 450, false)
+	sim.advance(450)
 	fmt.Println()
-	s := testConfig()
-	s.AllowHedging, s.MaxPushes = true, 1
-	x = newHarness(s, "a", "b")
-	x.sendOp("last push", 0, "page", 200, false)
-	x.advance(200)
+	cfg := testConfig()
+	cfg.AllowHedging, cfg.MaxPushes = true, 1
+	sim = newHarness(cfg, "a", "b")
+	sim.sendOp("last push", 0, "page", 200, false)
+	sim.advance(200)
 	fmt.Println()
-	x = newHarness(func() Config { s.MaxPushes = 4; return s }(), "a", "b")
-	x.sendOp("drained", 0, "page", 150, false)
-	x.updateHost("a", Draining, 0)
-	x.updateHost("b", Draining, 0)
-	x.advance(200)
+	sim = newHarness(func() Config { cfg.MaxPushes = 4; return cfg }(), "a", "b")
+	sim.sendOp("drained", 0, "page", 150, false)
+	sim.updateHost("a", Draining, 0)
+	sim.updateHost("b", Draining, 0)
+	sim.advance(200)
 	// Output:
 	// 0 push in its window to c
 	//    0 push past it to b
@@ -101,21 +103,21 @@
 	//  138 cancel drained
 }
 
-// A copy that misses is fetched from the origin while the first push is out; that one's miss fetches nothing more. When the
-// origin fails the fetch, the first is waited for.
+// If the hedge misses, its key is fetched from the origin while the first push is in flight, and a miss of
+// the first push starts no second fetch. If the fetch fails, the op waits for its first push.
 func Example_hedgeMissFetchedOnce() {
-	s := testConfig()
-	s.AllowHedging, s.MaxPushes, s.CacheAside = true, 4, true
+	cfg := testConfig()
+	cfg.AllowHedging, cfg.MaxPushes, cfg.CacheAside = true, 4, true
 	for _, fetched := range []Outcome{Served, Failed} {
-		x := newHarness(s, "a", "b", "origin")
-		op := x.sendOp("op", 0, "page", 500, false)
-		x.advance(101)
-		x.finishPush(op.pushes[1], CacheMiss, 1)
+		sim := newHarness(cfg, "a", "b", "origin")
+		op := sim.sendOp("op", 0, "page", 500, false)
+		sim.advance(101)
+		sim.finishPush(op.pushes[1], CacheMiss, 1)
 		if fetched == Served {
-			x.finishPush(op.pushes[0], CacheMiss, 102)
+			sim.finishPush(op.pushes[0], CacheMiss, 102)
 		}
-		x.finishPush(op.pushes[2], fetched, 20)
-		x.finishPush(op.pushes[0], Served, 130)
+		sim.finishPush(op.pushes[2], fetched, 20)
+		sim.finishPush(op.pushes[0], Served, 130)
 		fmt.Println("over:", op.IsDone())
 	}
 	// Output:
@@ -131,20 +133,21 @@
 	// over: true
 }
 
-// An op whose copy waits for a fetch and may have no further push is not given up: its first push is still out.
+// An op whose hedge waits for a fetch and that has no pushes left is not given up while its first push is in
+// flight.
 func Example_hedgeWaitingForFetchKeepsOpOpen() {
-	s := testConfig()
-	s.AllowHedging, s.MaxPushes, s.CacheAside = true, 3, true
-	x := newHarness(s, "a", "b", "origin")
-	x.sendOp("op", 0, "page", 500, false)
-	x.advance(30)
-	x.sendOp("leads", 0, "page", 500, false)
-	x.finish("leads", CacheMiss, 1)
-	x.advance(60)
-	x.finishPush(x.ops["op"].pushes[1], CacheMiss, 1)
-	x.ops["op"].pushes = append(x.ops["op"].pushes, x.ops["op"].pushes[1]) // one more that never ran: none is left
-	x.finish("leads", Served, 20)
-	x.finish("op", Served, 80)
+	cfg := testConfig()
+	cfg.AllowHedging, cfg.MaxPushes, cfg.CacheAside = true, 3, true
+	sim := newHarness(cfg, "a", "b", "origin")
+	sim.sendOp("op", 0, "page", 500, false)
+	sim.advance(30)
+	sim.sendOp("leads", 0, "page", 500, false)
+	sim.finish("leads", CacheMiss, 1)
+	sim.advance(60)
+	sim.finishPush(sim.ops["op"].pushes[1], CacheMiss, 1)
+	sim.ops["op"].pushes = append(sim.ops["op"].pushes, sim.ops["op"].pushes[1]) // uses up its last push
+	sim.finish("leads", Served, 20)
+	sim.finish("op", Served, 80)
 	// Output:
 	// 0 push op to a
 	//   30 push leads to a
--- a/balance/learned_test.go
+++ b/balance/learned_test.go
@@ -4,18 +4,18 @@
 	"fmt"
 )
 
-// The same events bring the same actions.
+// The same events lead to the same actions.
 func Example_deterministicDecisions() {
 	run := func() (trace string) {
-		x := newOriginHarness()
+		sim := newOriginHarness()
 		for i := range 500 {
-			x.silent = true
-			x.advance(3)
+			sim.silent = true
+			sim.advance(3)
 			name := fmt.Sprint("op", i)
-			op := x.sendOp(name, i%4, fmt.Sprint("key", i%17), 300, i%5 == 0)
+			op := sim.sendOp(name, i%4, fmt.Sprint("key", i%17), 300, i%5 == 0)
 			for k := i; op.inFlight > 0; k += 3 {
 				trace += pendingPush(op).Host.Name
-				x.PushEnded(pendingPush(op), Outcome(k%10), 5, Outcome(k%10) == Served, nil)
+				sim.PushEnded(pendingPush(op), Outcome(k%10), 5, Outcome(k%10) == Served, nil)
 			}
 		}
 		return trace
@@ -26,38 +26,40 @@
 	// true true
 }
 
-// The next process goes by what the one before has learned, but not of a host that has started anew. Cold hosts' budgets are one
-// process's at a time.
+// A new process restores what the previous one learned, except about hosts that have restarted since. Only
+// one of the two processes at a time spends the budgets of cold hosts.
 func Example_learnedStateHandover() {
-	x := newHarness(testConfig(), "a", "b", "c")
-	x.silent = true
+	sim := newHarness(testConfig(), "a", "b", "c")
+	sim.silent = true
 	for i := range 20 {
 		op := fmt.Sprint("op", i)
-		x.sendOp(op, 0, op, 500, false)
-		x.finish(op, Served, 40)
+		sim.sendOp(op, 0, op, 500, false)
+		sim.finish(op, Served, 40)
 	}
-	x.t += 5000
-	x.Advance(x.t)
-	x.pushRate = 0.01
-	x.hosts["a"].ejectedUntil, x.hosts["b"].ejectedUntil = x.t+1000, x.t+1000
-	x.hosts["c"].UpSince = x.t - 100
-	x.hasColdBudget(x.hosts["c"])
-	left := x.hosts["c"].coldBudget
-	x.YieldColdHosts(true)
-	fmt.Println("the old one affords a cold host:", x.hasColdBudget(x.hosts["c"]))
-	y := newHarness(testConfig(), "a", "b", "c")
-	y.Advance(x.t)
-	y.hosts["b"].UpSince, y.hosts["c"].UpSince = x.t-500, x.hosts["c"].UpSince
-	for _, part := range x.Learned().Split(2) {
-		y.Restore(part)
+	sim.clock += 5000
+	sim.Advance(sim.clock)
+	sim.pushRate = 0.01
+	sim.hosts["a"].ejectedUntil, sim.hosts["b"].ejectedUntil = sim.clock+1000, sim.clock+1000
+	sim.hosts["c"].UpSince = sim.clock - 100
+	sim.hasColdBudget(sim.hosts["c"])
+	budget := sim.hosts["c"].coldBudget
+	sim.YieldColdHosts(true)
+	fmt.Println("old process may push to a cold host:", sim.hasColdBudget(sim.hosts["c"]))
+	next := newHarness(testConfig(), "a", "b", "c")
+	next.Advance(sim.clock)
+	next.hosts["b"].UpSince, next.hosts["c"].UpSince = sim.clock-500, sim.hosts["c"].UpSince
+	for _, part := range sim.Learned().Split(2) {
+		next.Restore(part)
 	}
-	fmt.Println("latency:", y.Categories[0].avgLatency == x.Categories[0].avgLatency, "gate:", y.fleetLimiter.limit == x.fleetLimiter.limit)
-	fmt.Println("rests:", y.hosts["a"].ejectedUntil > x.t, y.hosts["b"].ejectedUntil > x.t, "budget:", y.hosts["c"].coldBudget == left)
+	fmt.Println("latency:", next.Categories[0].avgLatency == sim.Categories[0].avgLatency,
+		"gate:", next.fleetLimiter.limit == sim.fleetLimiter.limit)
+	fmt.Println("rests:", next.hosts["a"].ejectedUntil > sim.clock, next.hosts["b"].ejectedUntil > sim.clock,
+		"budget:", next.hosts["c"].coldBudget == budget)
 	early := newUnlistedHarness(testConfig()).Learned()
-	y.Restore(early)
-	fmt.Println("before a list:", early, y.Categories[0].avgLatency == x.Categories[0].avgLatency)
+	next.Restore(early)
+	fmt.Println("before a list:", early, next.Categories[0].avgLatency == sim.Categories[0].avgLatency)
 	// Output:
-	// the old one affords a cold host: false
+	// old process may push to a cold host: false
 	// latency: true gate: true
 	// rests: true false budget: true
 	// before a list: {0 0 {0 0 0 0} {0 0 0 0} 0 [] map[]} true
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -4,30 +4,30 @@
 	"fmt"
 )
 
-// Where hosts say that they are busy, turn away what walks on, and the origin is late, ops make way at the first refusal.
-// Without reports, or with hosts that have time, they walk on.
+// When hosts report that they are busy and turn walking ops away, and the origin is slow, ops are given up at
+// the first rejection. Without load reports, or with hosts that have capacity, they walk on.
 func Example_noWalkWhenHostsBusy() {
 	for _, busy := range []float64{-1, 0.5, 0.99} {
-		s := testConfig()
-		s.CacheAside = true
-		x := newHarness(s, "a", "b", "c", "origin")
-		x.silent = true
+		cfg := testConfig()
+		cfg.CacheAside = true
+		sim := newHarness(cfg, "a", "b", "c", "origin")
+		sim.silent = true
 		for i := range 100 {
 			name := fmt.Sprint("op", i)
-			op := x.sendOp(name, 0, name, 500, false)
+			op := sim.sendOp(name, 0, name, 500, false)
 			for n := 0; op.inFlight > 0; n++ {
 				p := pendingPush(op)
 				o := []Outcome{Overloaded, Overloaded, CacheMiss}[min(n, 2)]
 				if p.Host.IsOrigin {
-					x.advance(60)
+					sim.advance(60)
 					o = Served
 				}
-				x.PushEnded(p, o, x.t-p.sentAt, o == Served, &LoadReport{Busy: busy})
+				sim.PushEnded(p, o, sim.clock-p.sentAt, o == Served, &LoadReport{Busy: busy})
 			}
 		}
 		pushes := 0
 		for i := 50; i < 100; i++ {
-			pushes += len(x.ops[fmt.Sprint("op", i)].pushes)
+			pushes += len(sim.ops[fmt.Sprint("op", i)].pushes)
 		}
 		fmt.Printf("busy %.2f: %d pushes for the last 50 ops\n", busy, pushes)
 	}
@@ -37,28 +37,29 @@
 	// busy 0.99: 50 pushes for the last 50 ops
 }
 
-// A gate that lets out next to none opens by itself: where a balancer has a miss in two seconds and lets one in a hundred
-// out, no answer comes to tell that the origin is well again. Some hundred gates once stayed shut for the rest of a day.
-func Example_originGateReopensWithoutOutcomes() {
-	x := newOriginHarness()
-	x.silent = true
-	x.originLimiter.limit = 0.01
+// A limit close to zero lets almost no fetch out, so no outcome shows that the origin has recovered. The
+// limit rises with time then, and would otherwise stay closed.
+func Example_originLimitRecoversWithoutOutcomes() {
+	sim := newOriginHarness()
+	sim.silent = true
+	sim.originLimiter.limit = 0.01
 	for i := range 4 {
-		fetches := x.pushes["origin"]
+		fetches := sim.pushes["origin"]
 		for k := range 4 {
 			name := fmt.Sprint("miss", i, k)
-			x.sendOp(name, 0, name, 300, false)
-			x.finish(name, CacheMiss, 1)
-			x.ClientLeft(x.ops[name])
-			x.advance(1000)
+			sim.sendOp(name, 0, name, 300, false)
+			sim.finish(name, CacheMiss, 1)
+			sim.ClientLeft(sim.ops[name])
+			sim.advance(1000)
 		}
-		fmt.Printf("%2.0f s: limit %.2f, fetches %d of 4\n", x.t/1000, x.originLimiter.limit, x.pushes["origin"]-fetches)
+		fmt.Printf("%2.0f s: limit %.2f, fetches %d of 4\n", sim.clock/1000, sim.originLimiter.limit,
+			sim.pushes["origin"]-fetches)
 	}
-	x.sendOp("well", 0, "page", 300, false)
-	x.finish("well", CacheMiss, 1)
-	x.originLimiter.limit = 0.25
-	x.finish("well", Served, 10)
-	fmt.Println("a timely answer doubles it:", x.originLimiter.limit == 0.5)
+	sim.sendOp("well", 0, "page", 300, false)
+	sim.finish("well", CacheMiss, 1)
+	sim.originLimiter.limit = 0.25
+	sim.finish("well", Served, 10)
+	fmt.Println("a timely answer doubles it:", sim.originLimiter.limit == 0.5)
 	// Output:
 	// 4 s: limit 0.23, fetches 2 of 4
 	//  8 s: limit 0.52, fetches 0 of 4
@@ -67,24 +68,24 @@
 	// a timely answer doubles it: true
 }
 
-// An origin that takes somewhat longer than its goal narrows the gates of many to one fetch each and no further: at calm times
-// a balancer's few fetches are often late by chance, and turning ops away for them lost nine in ten of what was lost.
+// An origin slightly slower than its goal reduces the limit to one fetch per balancer and no further: at low
+// load a few fetches are often late by chance.
 func Example_slightlySlowOriginTurnsNoOpAway() {
-	s := testConfig()
-	s.GroupSize, s.CacheAside = 400, true
-	x := newHarness(s, "a", "b", "origin")
-	x.silent = true
+	cfg := testConfig()
+	cfg.GroupSize, cfg.CacheAside = 400, true
+	sim := newHarness(cfg, "a", "b", "origin")
+	sim.silent = true
 	for _, took := range []float64{45, 90} {
 		for i := range 40 {
 			name := fmt.Sprint("op", took, i)
-			x.sendOp(name, 0, name, 900, false)
-			x.finish(name, CacheMiss, 1)
-			x.advance(took)
-			x.finish(name, Served, took)
+			sim.sendOp(name, 0, name, 900, false)
+			sim.finish(name, CacheMiss, 1)
+			sim.advance(took)
+			sim.finish(name, Served, took)
 		}
-		fmt.Println(took, "ms: ops turned away by chance:", x.originLimiter.limit < 1)
+		fmt.Println(took, "ms: ops shed at random:", sim.originLimiter.limit < 1)
 	}
 	// Output:
-	// 45 ms: ops turned away by chance: false
-	// 90 ms: ops turned away by chance: true
+	// 45 ms: ops shed at random: false
+	// 90 ms: ops shed at random: true
 }
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -5,30 +5,29 @@
 	"math"
 )
 
-// What discovery has, and could be reached for, counts as told 6 s later. It may come back from just behind any call on, so
-// the next is made soon enough for its answer, however many have failed before: at once, late, or by being given up. Where
-// calls are refused at once, as where discovery is asked by hundreds, there is time for a second and a third.
+// Changes of the host list must be known 6 s after discovery has them, if it can be reached. After a failed
+// call the next one is therefore made early enough, however the call failed and however many failed before.
 func Example_listRetriedWithinDeadline() {
 	for _, c := range []struct {
 		what string
-		fail float64 // ms until a call fails; +Inf: it is never answered
-		most float64 // ms from one call to the next
+		fail float64 // ms until a call fails; +Inf: no answer
+		most float64 // ms from one call to the next, at most
 	}{{"refused at once", 0, 2000}, {"reset after a while", 900, 2900},
-		{"503 as it is to be given up", 2900, 4500}, {"never answered", math.Inf(1), 4500}} {
+		{"503 just before the timeout", 2900, 4500}, {"never answered", math.Inf(1), 4500}} {
 		longest := 0.0
 		for seed := range 200 {
-			s := testConfig()
-			s.ListOnRequest, s.Seed = true, uint64(seed)
-			x := &harness{silent: true}
-			x.Balancer = New(s, x, 0)
+			cfg := testConfig()
+			cfg.ListOnRequest, cfg.Seed = true, uint64(seed)
+			sim := &harness{silent: true}
+			sim.Balancer = New(cfg, sim, 0)
 			called := 0.0
 			for call := 0; call < 8; {
-				x.advance(10)
+				sim.advance(10)
 				switch {
-				case x.listPending && x.listCallAt > called: // a further call
-					longest, called, call = max(longest, x.listCallAt-called), x.listCallAt, call+1
-				case x.listPending && x.t-x.listCallAt >= c.fail:
-					x.HostListFailed()
+				case sim.listPending && sim.listCallAt > called:
+					longest, called, call = max(longest, sim.listCallAt-called), sim.listCallAt, call+1
+				case sim.listPending && sim.clock-sim.listCallAt >= c.fail:
+					sim.HostListFailed()
 				}
 			}
 		}
@@ -37,22 +36,22 @@
 	// Output:
 	// refused at once: in time true and spread true
 	// reset after a while: in time true and spread true
-	// 503 as it is to be given up: in time true and spread true
+	// 503 just before the timeout: in time true and spread true
 	// never answered: in time true and spread true
 }
 
-// A failed list call is made again after a spread and growing wait, as is one that nobody answers.
+// A failed or unanswered list call is repeated after a random and growing delay.
 func Example_listRetryBackoff() {
-	s := testConfig()
-	s.ListOnRequest = true
-	x := newUnlistedHarness(s)
-	x.HostListFailed()
-	x.advance(1000)
-	x.HostListFailed()
-	x.advance(2000)
-	x.advance(10000)
-	x.listHosts(true, "a")
-	x.advance(60000)
+	cfg := testConfig()
+	cfg.ListOnRequest = true
+	sim := newUnlistedHarness(cfg)
+	sim.HostListFailed()
+	sim.advance(1000)
+	sim.HostListFailed()
+	sim.advance(2000)
+	sim.advance(10000)
+	sim.listHosts(true, "a")
+	sim.advance(60000)
 	// Output:
 	// 0 watch
 	//  900 watch
@@ -61,16 +60,16 @@
 	// 11300 watch
 }
 
-// With no host listed an op is held while there is hope.
+// With no host listed, ops are held as long as they can still be answered in time.
 func Example_opsHeldWhileNoHostListed() {
-	x := newHarness(testConfig())
-	x.sendOp("op0", 0, "page", 500, false)
-	x.sendOp("op1", 0, "page", 500, false)
-	x.advance(50)
-	x.updateHost("a", Ready, 0)
-	x.updateHost("a", Gone, 0)
-	x.sendOp("op2", 0, "page", 500, false)
-	x.advance(100)
+	sim := newHarness(testConfig())
+	sim.sendOp("op0", 0, "page", 500, false)
+	sim.sendOp("op1", 0, "page", 500, false)
+	sim.advance(50)
+	sim.updateHost("a", Ready, 0)
+	sim.updateHost("a", Gone, 0)
+	sim.sendOp("op2", 0, "page", 500, false)
+	sim.advance(100)
 	// Output:
 	// 50 push op0 to a
 	//   50 push op1 to a
@@ -81,62 +80,62 @@
 	//  138 nack op1
 }
 
-// Odd lists stop no routing to hosts that are known to be ready: changes to hosts never listed, a host listed
-// twice, a whole list of nothing or of the origin alone, and one of a thousand hosts.
+// Unusual lists do not stop routing to hosts that are known to be ready: changes to hosts never listed, a
+// host listed twice, a complete list that is empty or names only the origin, and a list of a thousand hosts.
 func Example_unusualListsKeepRouting() {
 	for _, group := range []int{1, 1000} {
-		s := testConfig()
-		s.GroupSize, s.CacheAside = group, true
-		x := newHarness(s, "a", "b")
-		x.updateHost("never", Gone, 0)
-		x.updateHost("other", Draining, 5)
-		a := x.hosts["a"]
-		x.HostsListed([]HostEntry{{a, Listing{Size: 2}}, {a, Listing{Size: 1}}}, false, false)
-		x.silent = true
+		cfg := testConfig()
+		cfg.GroupSize, cfg.CacheAside = group, true
+		sim := newHarness(cfg, "a", "b")
+		sim.updateHost("never", Gone, 0)
+		sim.updateHost("other", Draining, 5)
+		a := sim.hosts["a"]
+		sim.HostsListed([]HostEntry{{a, Listing{Size: 2}}, {a, Listing{Size: 1}}}, false, false)
+		sim.silent = true
 		at := func(key string) string {
-			op := x.sendOp(key, 0, key, 500, false)
+			op := sim.sendOp(key, 0, key, 500, false)
 			if op.inFlight == 0 {
-				x.ClientLeft(op)
+				sim.ClientLeft(op)
 				return "none"
 			}
 			name := pendingPush(op).Host.Name
-			x.finish(key, Served, 1)
+			sim.finish(key, Served, 1)
 			return name
 		}
-		fmt.Print(group, " balancers: ", len(x.Balancer.hosts), " hosts, ", at("page"), at("atlas"))
-		x.HostsListed(nil, true, false)
+		fmt.Print(group, " balancers: ", len(sim.Balancer.hosts), " hosts, ", at("page"), at("atlas"))
+		sim.HostsListed(nil, true, false)
 		fmt.Print(", empty ", at("k1"))
-		x.listHosts(true, "origin")
+		sim.listHosts(true, "origin")
 		fmt.Print(", origin ", at("k2"))
 		var many []string
 		for i := range 1000 {
 			many = append(many, fmt.Sprint("h", i))
 		}
-		x.listHosts(true, many...)
-		fmt.Println(", thousand", at("page"), len(x.readyHosts))
+		sim.listHosts(true, many...)
+		fmt.Println(", thousand", at("page"), len(sim.readyHosts))
 	}
 	// Output:
 	// 1 balancers: 3 hosts, ab, empty none, origin none, thousand h818 1000
 	// 1000 balancers: 3 hosts, ab, empty none, origin none, thousand h818 1000
 }
 
-// A balancer back from a restart routes by its saved list as its peers do by theirs, whatever its seed,
-// and takes the new list when one comes, if ever.
+// A restarted balancer routes by its saved list as its peers do by theirs, whatever its seed, until a new
+// list arrives.
 func Example_restartRoutesBySavedList() {
-	s := testConfig()
-	s.ListOnRequest = true
+	cfg := testConfig()
+	cfg.ListOnRequest = true
 	peer := newHarness(testConfig(), "a", "b", "c")
-	s.Seed = 99
-	x := newUnlistedHarness(s)
+	cfg.Seed = 99
+	sim := newUnlistedHarness(cfg)
 	for _, n := range []string{"a", "b", "c"} {
-		x.hosts[n] = &Host{Name: n}
-		x.HostsListed([]HostEntry{{x.hosts[n], Listing{Size: 1}}}, false, true)
+		sim.hosts[n] = &Host{Name: n}
+		sim.HostsListed([]HostEntry{{sim.hosts[n], Listing{Size: 1}}}, false, true)
 	}
-	x.advance(8000)
-	x.sendOp("op", 0, "page", 500, false)
+	sim.advance(8000)
+	sim.sendOp("op", 0, "page", 500, false)
 	peer.sendOp("peer's", 0, "page", 500, false)
-	x.finish("op", ConnectFailed, 1)
-	x.listHosts(true, "a", "b")
+	sim.finish("op", ConnectFailed, 1)
+	sim.listHosts(true, "a", "b")
 	// Output:
 	// 0 watch
 	// 3900 watch
@@ -145,76 +144,78 @@
 	// 8000 push op to a
 }
 
-// Calls for the list fail ever longer apart; where another service tells it from now on, it is asked at once.
+// Delays between list calls grow with each failure. When another service provides the list, it is asked at
+// once.
 func Example_movedListRequestedAtOnce() {
-	s := testConfig()
-	s.ListOnRequest = true
-	x := newUnlistedHarness(s)
+	cfg := testConfig()
+	cfg.ListOnRequest = true
+	sim := newUnlistedHarness(cfg)
 	for range 4 {
-		x.HostListFailed()
+		sim.HostListFailed()
 	}
-	x.advance(100)
-	x.HostListMoved()
-	x.HostListFailed()
-	x.advance(1000)
+	sim.advance(100)
+	sim.HostListMoved()
+	sim.HostListFailed()
+	sim.advance(1000)
 	// Output:
 	// 0 watch
 	//  100 watch
 	//  700 watch
 }
 
-// However lists come, a changed cycle is the one that a balancer with the last list alone has; and hosts are looked at ten
-// times a second, not at each tick. Sorting all points and visiting all hosts once cost a thousand balancers 75 s of CPU in 18.
+// After any sequence of updates, the cycle equals the one built from the last list alone. Hosts are swept ten
+// times a second, not at each tick: sorting all points and visiting all hosts takes too much CPU.
 func Example_incrementalListUpdates() {
-	x := newHarness(testConfig(), "a", "b", "c", "d", "e")
-	x.silent = true
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "e")
+	sim.silent = true
 	for i := range 200 {
 		name := string(rune('a' + i*7%13))
-		x.updateHost(name, []Status{Ready, Draining, Ready, Gone}[i%4], 0)
+		sim.updateHost(name, []Status{Ready, Draining, Ready, Gone}[i%4], 0)
 	}
-	var left []string
-	for _, h := range x.readyHosts {
-		left = append(left, h.Name)
+	var ready []string
+	for _, h := range sim.readyHosts {
+		ready = append(ready, h.Name)
 	}
-	y := newHarness(testConfig(), left...)
-	same := len(x.cycle.points) == len(y.cycle.points)
-	for i, p := range x.cycle.points {
-		q := y.cycle.points[i]
-		same = same && p.hash == q.hash && x.cycle.hosts[p.hostIndex].Name == y.cycle.hosts[q.hostIndex].Name
+	rebuilt := newHarness(testConfig(), ready...)
+	same := len(sim.cycle.points) == len(rebuilt.cycle.points)
+	for i, p := range sim.cycle.points {
+		q := rebuilt.cycle.points[i]
+		same = same && p.hash == q.hash &&
+			sim.cycle.hosts[p.hostIndex].Name == rebuilt.cycle.hosts[q.hostIndex].Name
 	}
-	looks, last := 0, x.lastSweep
+	sweeps, last := 0, sim.lastSweep
 	for range 100 {
-		x.advance(10)
-		if x.lastSweep != last {
-			looks, last = looks+1, x.lastSweep
+		sim.advance(10)
+		if sim.lastSweep != last {
+			sweeps, last = sweeps+1, sim.lastSweep
 		}
 	}
-	fmt.Println(len(left), "hosts, the same cycle:", same, "looks in a second:", looks)
+	fmt.Println(len(ready), "hosts, the same cycle:", same, "sweeps in a second:", sweeps)
 	// Output:
-	// 6 hosts, the same cycle: true looks in a second: 9
+	// 6 hosts, the same cycle: true sweeps in a second: 9
 }
 
-// A host that operators take out gets nothing new, in whichever way an op would come to it: first push, next push after a
-// failure, or once lists name it again. What it owes is waited for. When it is put back, its rest is forgotten.
+// A banned host gets no op, neither as a first push, nor after a failure, nor once it is listed again. Its
+// pushes in flight still end normally. Lifting the ban also ends its ejection.
 func Example_bannedHostGetsNoOps() {
-	x := newHarness(testConfig(), "a", "b", "c")
-	x.sendOp("out", 0, "page", 500, false)
-	first := x.ops["out"].pushes[0].Host
+	sim := newHarness(testConfig(), "a", "b", "c")
+	sim.sendOp("out", 0, "page", 500, false)
+	first := sim.ops["out"].pushes[0].Host
 	for range 2 {
-		x.SetBanned(first, true) // twice is as once
+		sim.SetBanned(first, true) // the second call has no effect
 	}
-	x.sendOp("next", 0, "page", 500, false)
-	x.listHosts(true, "a", "b", "c") // and it is listed as ready
-	x.sendOp("listed", 0, "page", 500, false)
-	x.finish("next", ConnBroken, 5)
-	x.finish("out", Served, 10)
-	fmt.Println(x.HostCounts())
-	x.SetBanned(first, false)
+	sim.sendOp("next", 0, "page", 500, false)
+	sim.listHosts(true, "a", "b", "c") // the banned host is listed as ready
+	sim.sendOp("listed", 0, "page", 500, false)
+	sim.finish("next", ConnBroken, 5)
+	sim.finish("out", Served, 10)
+	fmt.Println(sim.HostCounts())
+	sim.SetBanned(first, false)
 	first.ejectedUntil = math.Inf(1)
-	x.SetBanned(first, true)
-	x.SetBanned(first, false)
-	fmt.Println(x.HostCounts())
-	x.sendOp("again", 0, "page", 500, false)
+	sim.SetBanned(first, true)
+	sim.SetBanned(first, false)
+	fmt.Println(sim.HostCounts())
+	sim.sendOp("again", 0, "page", 500, false)
 	// Output:
 	// 0 push out to c
 	//    0 push next to a
@@ -226,16 +227,16 @@
 	//    0 push again to c
 }
 
-// Where operators have taken out all hosts, reads go to the origin. Before there is a list they are held.
+// With all hosts banned, reads go to the origin. Before the first list they are held.
 func Example_readsGoToOriginWhenAllBanned() {
-	s := testConfig()
-	s.CacheAside = true
-	x := newHarness(s, "a", "origin")
-	x.SetBanned(x.hosts["a"], true)
-	x.sendOp("read", 0, "page", 500, false)
-	x.finish("read", Served, 10)
-	x = newUnlistedHarness(s)
-	x.sendOp("early", 0, "page", 500, false)
+	cfg := testConfig()
+	cfg.CacheAside = true
+	sim := newHarness(cfg, "a", "origin")
+	sim.SetBanned(sim.hosts["a"], true)
+	sim.sendOp("read", 0, "page", 500, false)
+	sim.finish("read", Served, 10)
+	sim = newUnlistedHarness(cfg)
+	sim.sendOp("early", 0, "page", 500, false)
 	// Output:
 	// 0 push read to origin
 	//    0 read acked
--- a/balance/order_test.go
+++ b/balance/order_test.go
@@ -2,28 +2,30 @@
 
 import "fmt"
 
-// orderedConfig is a start at which ops of the last row keep their order by key, with 50 ms of rest.
+// orderedConfig is a configuration whose last category keeps the order of ops by key, with a quiet time of 50
+// ms.
 func orderedConfig() Config {
-	s := testConfig()
-	s.KeyQuietTime = 50
-	s.Categories = append(s.Categories, &Category{Target: 400, Benefit: 1, LateBenefit: 0.5, Ordered: true})
-	return s
+	cfg := testConfig()
+	cfg.KeyQuietTime = 50
+	cfg.Categories = append(cfg.Categories, &Category{Target: 400, Benefit: 1, LateBenefit: 0.5, Ordered: true})
+	return cfg
 }
 
-// Ops of one key run one after another, as they came; other keys, other categories and ops without a key are free.
+// Ordered ops of one key run one after another, in order of arrival. Other keys, other categories and ops
+// without a key do not wait.
 func Example_orderedOpsRunOneAtATime() {
-	x := newHarness(orderedConfig(), "a", "b", "c", "d")
+	sim := newHarness(orderedConfig(), "a", "b", "c", "d")
 	for _, name := range []string{"op0", "op1", "op2"} {
-		x.sendOp(name, 4, "page", 2000, false)
+		sim.sendOp(name, 4, "page", 2000, false)
 	}
-	x.sendOp("other", 4, "leaf", 2000, false)
-	x.sendOp("free", 0, "page", 2000, false)
-	x.sendOp("bare", 4, "", 2000, false)
-	x.finish("op0", Served, 10)
-	x.finish("op1", Failed, 10) // its second push is before op2's first
-	x.finish("op1", Served, 10)
-	x.finish("op2", Served, 10)
-	fmt.Println("turns kept for nothing:", len(x.keyQueues)-1)
+	sim.sendOp("other", 4, "leaf", 2000, false)
+	sim.sendOp("free", 0, "page", 2000, false)
+	sim.sendOp("bare", 4, "", 2000, false)
+	sim.finish("op0", Served, 10)
+	sim.finish("op1", Failed, 10) // its second push precedes op2's first
+	sim.finish("op1", Served, 10)
+	sim.finish("op2", Served, 10)
+	fmt.Println("queues left over:", len(sim.keyQueues)-1)
 	// Output:
 	// 0 push op0 to c
 	//    0 push other to d
@@ -35,28 +37,28 @@
 	//    0 push op2 to d
 	//    0 op1 acked
 	//    0 op2 acked
-	// turns kept for nothing: 0
+	// queues left over: 0
 }
 
-// After a push that may still run the key rests. An op given up while its push is out holds the turn until that has
-// its outcome, and one that is given up in line lets those behind it move up.
-func Example_orderedKeyRestsAfterUncertainPush() {
-	s := orderedConfig()
-	s.Categories[4].LateBenefit = 0
-	x := newHarness(s, "a", "b", "c", "d")
-	x.sendOp("op0", 4, "page", 2000, false)
-	x.advance(350)
-	x.sendOp("op1", 4, "page", 60, false)
-	x.sendOp("op2", 4, "page", 2000, false)
-	x.advance(200)
-	x.finish("op2", ConnBroken, 10)
-	x.sendOp("op3", 4, "page", 2000, false)
-	x.finish("op2", Served, 10)
-	x.advance(100)
-	x.finish("op3", TimedOut, 10)
-	x.ClientLeft(x.ops["op3"])
-	x.advance(6000)
-	fmt.Println("turns kept for nothing:", len(x.keyQueues))
+// After a push that may still run, its key stays quiet for a while. An op that is given up blocks its key
+// until its push has ended; an op given up in the queue leaves it.
+func Example_orderedKeyQuietAfterUncertainPush() {
+	cfg := orderedConfig()
+	cfg.Categories[4].LateBenefit = 0
+	sim := newHarness(cfg, "a", "b", "c", "d")
+	sim.sendOp("op0", 4, "page", 2000, false)
+	sim.advance(350)
+	sim.sendOp("op1", 4, "page", 60, false)
+	sim.sendOp("op2", 4, "page", 2000, false)
+	sim.advance(200)
+	sim.finish("op2", ConnBroken, 10)
+	sim.sendOp("op3", 4, "page", 2000, false)
+	sim.finish("op2", Served, 10)
+	sim.advance(100)
+	sim.finish("op3", TimedOut, 10)
+	sim.ClientLeft(sim.ops["op3"])
+	sim.advance(6000)
+	fmt.Println("queues left over:", len(sim.keyQueues))
 	// Output:
 	// 0 push op0 to c
 	//  350 cancel op0
@@ -70,19 +72,19 @@
 	//  600 push op3 to d
 	//  650 push op3 to a
 	//  650 cancel op3
-	// turns kept for nothing: 0
+	// queues left over: 0
 }
 
-// At a balancer whose clock is off ops seem to have no time left. They have their target latency at the least, as far
-// as the stated doubt goes, and are settled within it.
+// With a skewed clock, ops seem to have no time left. Within the configured skew they get at least their
+// target latency, and are settled within it.
 func Example_clockSkewKeepsTargetLatency() {
-	s := testConfig()
-	s.DeadlineSkew = 300
-	x := newHarness(s, "a", "b", "c", "d")
-	x.sendOp("short", 0, "page", 5, false)
-	x.sendOp("past", 0, "leaf", -250, false)
-	x.sendOp("lost", 0, "leaf", -301, false)
-	x.advance(200)
+	cfg := testConfig()
+	cfg.DeadlineSkew = 300
+	sim := newHarness(cfg, "a", "b", "c", "d")
+	sim.sendOp("short", 0, "page", 5, false)
+	sim.sendOp("past", 0, "leaf", -250, false)
+	sim.sendOp("lost", 0, "leaf", -301, false)
+	sim.advance(200)
 	// Output:
 	// 0 push short to c
 	//    0 push past to d
@@ -95,16 +97,16 @@
 	//  100 cancel short
 }
 
-// A host may have started later than it is listed, by the doubt on stamps: for so much longer it counts as cold.
-func Example_startTimeDoubtExtendsColdPeriod() {
-	for _, doubt := range []float64{0, 2000} {
-		s := testConfig()
-		s.UpSinceSkew = doubt
-		x := newHarness(s, "a", "b", "c", "d")
-		sendUniqueKeys(x, 6000)
-		x.updateHost("d", Gone, 0)
-		x.updateHost("d", Ready, x.t-4000)
-		fmt.Printf("doubt %v ms: %d\n", doubt, sendUniqueKeys(x, 1000)["d"])
+// A host may have started later than listed, by the configured skew: it counts as cold for that much longer.
+func Example_startTimeSkewExtendsWarmup() {
+	for _, skew := range []float64{0, 2000} {
+		cfg := testConfig()
+		cfg.UpSinceSkew = skew
+		sim := newHarness(cfg, "a", "b", "c", "d")
+		sendUniqueKeys(sim, 6000)
+		sim.updateHost("d", Gone, 0)
+		sim.updateHost("d", Ready, sim.clock-4000)
+		fmt.Printf("doubt %v ms: %d\n", skew, sendUniqueKeys(sim, 1000)["d"])
 	}
 	// Output:
 	// doubt 0 ms: 222
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -4,19 +4,19 @@
 	"fmt"
 )
 
-// A host that fails rests, is tried with one op at a time, and is trusted again once it answers.
+// A failed host is ejected, then probed with one op at a time, and used normally once it answers.
 func Example_failedHostRecovers() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.sendOp("op0", 0, "page", 900, false)
-	x.finish("op0", Failed, 1)
-	x.finish("op0", Served, 9)
-	x.advance(300)
-	x.sendOp("op2", 0, "page", 900, false)
-	x.sendOp("op3", 0, "page", 900, false)
-	x.finish("op2", Served, 9)
-	x.finish("op3", Served, 9)
-	x.sendOp("op4", 0, "page", 900, false)
-	x.sendOp("op5", 0, "page", 900, false)
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.sendOp("op0", 0, "page", 900, false)
+	sim.finish("op0", Failed, 1)
+	sim.finish("op0", Served, 9)
+	sim.advance(300)
+	sim.sendOp("op2", 0, "page", 900, false)
+	sim.sendOp("op3", 0, "page", 900, false)
+	sim.finish("op2", Served, 9)
+	sim.finish("op3", Served, 9)
+	sim.sendOp("op4", 0, "page", 900, false)
+	sim.sendOp("op5", 0, "page", 900, false)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to d
@@ -29,16 +29,16 @@
 	//  300 push op5 to c
 }
 
-// A host that takes no connection may be dead, or just full of them. It rests after the failure in proportion
-// to what it took: 100 ms after 5 ms, and the usual 250 after 50.
-func Example_restScalesWithConnectTime() {
+// A host that accepts no connection may be dead or only out of connections. The ejection time grows with the
+// time that the failed connect took: 100 ms after 5 ms, and the usual 250 ms after 50 ms.
+func Example_ejectionScalesWithConnectTime() {
 	for _, took := range []float64{5, 50} {
-		x := newHarness(testConfig(), "a", "b", "c", "d")
-		x.sendOp("op0", 0, "page", 500, false)
-		x.finish("op0", ConnectFailed, took)
-		x.finish("op0", Served, 9)
-		x.advance(150)
-		x.sendOp("op1", 0, "page", 500, false)
+		sim := newHarness(testConfig(), "a", "b", "c", "d")
+		sim.sendOp("op0", 0, "page", 500, false)
+		sim.finish("op0", ConnectFailed, took)
+		sim.finish("op0", Served, 9)
+		sim.advance(150)
+		sim.sendOp("op1", 0, "page", 500, false)
 	}
 	// Output:
 	// 0 push op0 to c
@@ -51,16 +51,16 @@
 	//  150 push op1 to d
 }
 
-// A host that takes ops and answers none is left by them once the usual time is well past; one that
-// answers others keeps its heavy op.
+// A push to a host that answers no op is cancelled well after the usual latency and goes elsewhere; one to a
+// host that answers other ops stays.
 func Example_unresponsiveHostAbandoned() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.sendOp("hung", 0, "page", 900, false)
-	x.sendOp("heavy", 0, "atlas", 900, false)
-	x.sendOp("light", 0, "atlas", 900, false)
-	x.advance(20)
-	x.finish("light", Served, 20)
-	x.advance(150)
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.sendOp("hung", 0, "page", 900, false)
+	sim.sendOp("heavy", 0, "atlas", 900, false)
+	sim.sendOp("light", 0, "atlas", 900, false)
+	sim.advance(20)
+	sim.finish("light", Served, 20)
+	sim.advance(150)
 	// Output:
 	// 0 push hung to c
 	//    0 push heavy to b
@@ -70,42 +70,43 @@
 	//   88 push hung to d
 }
 
-// One op in three is heavy, and on hosts that have answered no other since. What is called off counts as usual
-// latency too: patience learned from the quick alone would call ever more off.
+// One op in three is slow, at hosts that have answered no other op since. Cancelled pushes count as latency
+// samples, too: with fast ops alone ever more pushes would be cancelled.
 func Example_slowOpsNotCancelledRepeatedly() {
-	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
-	x.silent = true
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
+	sim.silent = true
 	for round := range 4 {
-		called := 0
+		cancelled := 0
 		for i := range 30 {
-			op := x.sendOp("op", 0, fmt.Sprint("key", round, i), 900, false)
+			op := sim.sendOp("op", 0, fmt.Sprint("key", round, i), 900, false)
 			took := 20.0
 			if i%3 == 0 {
 				took = 150
 			}
-			x.advance(took)
-			called += len(op.pushes) - 1
-			x.finish("op", Served, x.t-pendingPush(op).sentAt)
+			sim.advance(took)
+			cancelled += len(op.pushes) - 1
+			sim.finish("op", Served, sim.clock-pendingPush(op).sentAt)
 		}
-		fmt.Println("called off:", called, "of 10 heavy ones")
+		fmt.Println("pushes cancelled:", cancelled, "of 10 slow ops")
 	}
 	// Output:
-	// called off: 4 of 10 heavy ones
-	// called off: 0 of 10 heavy ones
-	// called off: 0 of 10 heavy ones
-	// called off: 0 of 10 heavy ones
+	// pushes cancelled: 4 of 10 slow ops
+	// pushes cancelled: 0 of 10 slow ops
+	// pushes cancelled: 0 of 10 slow ops
+	// pushes cancelled: 0 of 10 slow ops
 }
 
-// One heavy op narrows the hosts' gate once; the timely answers after it, while the smoothed latency is still
-// over its goal, do not narrow it again.
-func Example_oneSlowOpNarrowsGateOnce() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.silent = true
+// One slow op reduces the fleet's limit once. Timely answers after it do not reduce it again, although the
+// smoothed latency is still above its goal.
+func Example_oneSlowOpReducesLimitOnce() {
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.silent = true
 	for _, took := range []float64{20, 400, 20, 20, 20} {
-		x.sendOp("op", 0, "page", 900, false)
-		x.advance(80)
-		x.finish("op", Served, took)
-		fmt.Printf("%.0f ms: limit %.0f, smoothed over target %.2f\n", took, x.fleetLimiter.limit, x.fleetLimiter.congestion)
+		sim.sendOp("op", 0, "page", 900, false)
+		sim.advance(80)
+		sim.finish("op", Served, took)
+		fmt.Printf("%.0f ms: limit %.0f, smoothed over target %.2f\n", took, sim.fleetLimiter.limit,
+			sim.fleetLimiter.congestion)
 	}
 	// Output:
 	// 20 ms: limit 64, smoothed over target 0.04
@@ -115,15 +116,15 @@
 	// 20 ms: limit 8, smoothed over target 0.52
 }
 
-// A single spoilt answer says little of a host: the op goes there again, for it may hold the key. A host of which many
-// come is left for a while. All hosts that spoil a few answers once rested in turn, and keys missed elsewhere.
-func Example_fewCorruptAnswersKeepHost() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
+// After a single invalid answer an op goes to the same host again, which may hold the key. Only a host that
+// gives several is ejected: if each invalid answer ejected its host, keys would miss elsewhere.
+func Example_fewInvalidAnswersKeepHost() {
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
 	for _, name := range []string{"op0", "op1"} {
-		x.sendOp(name, 0, "page", 500, false)
-		x.finish(name, InvalidAnswer, 5)
+		sim.sendOp(name, 0, "page", 500, false)
+		sim.finish(name, InvalidAnswer, 5)
 	}
-	x.finish("op1", Served, 5)
+	sim.finish("op1", Served, 5)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op0 to c
@@ -132,14 +133,15 @@
 	//    0 op1 acked
 }
 
-// A kept connection that ends under a push counts as little: hosts close them as they like.
+// A kept connection that ends under a push hardly counts against its host: hosts may close idle connections
+// at any time.
 func Example_staleConnectionNotBlamed() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.sendOp("read", 0, "page", 500, false)
-	x.finish("read", StaleConn, 5)
-	x.finish("read", Served, 5)
-	x.sendOp("once", 2, "page", 500, false)
-	x.finish("once", StaleConn, 5)
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.sendOp("read", 0, "page", 500, false)
+	sim.finish("read", StaleConn, 5)
+	sim.finish("read", Served, 5)
+	sim.sendOp("once", 2, "page", 500, false)
+	sim.finish("once", StaleConn, 5)
 	// Output:
 	// 0 push read to c
 	//    0 push read to c
@@ -148,16 +150,16 @@
 	//    0 dead-letter once
 }
 
-// A push whose host answers others may be a heavy op: it is left at the first look, and called off at the second, for its
-// connection may be dead without a word. It once waited until its time was over.
+// A slow push whose host answers other ops may be a heavy op and is kept at the first check. It is cancelled
+// at the second one, since its connection may be dead.
 func Example_stuckPushCancelledAtSecondCheck() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.sendOp("stuck", 0, "page", 500, false)
-	x.advance(60)
-	x.sendOp("other", 0, "page", 500, false)
-	x.finish("other", Served, 10)
-	x.advance(150)
-	x.finish("stuck", Served, 10)
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.sendOp("stuck", 0, "page", 500, false)
+	sim.advance(60)
+	sim.sendOp("other", 0, "page", 500, false)
+	sim.finish("other", Served, 10)
+	sim.advance(150)
+	sim.finish("stuck", Served, 10)
 	// Output:
 	// 0 push stuck to c
 	//   60 push other to c
@@ -167,22 +169,23 @@
 	//  210 stuck acked
 }
 
-// An op that two hosts hold for wrong is given up, and neither is blamed; one that another host serves tells of the first.
-func Example_rejectedOpBlamesNoHost() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.sendOp("wrong", 0, "page", 500, false)
-	x.finish("wrong", InvalidOp, 5)
-	x.finish("wrong", InvalidOp, 5)
-	x.sendOp("right", 0, "page", 500, false)
-	x.finish("right", InvalidOp, 5)
-	x.finish("right", Served, 5)
-	x.sendOp("next", 0, "page", 500, false)
-	s := testConfig()
-	s.CacheAside = true
-	x = newHarness(s, "a", "o") // a fetch that the origin holds for wrong once waited for itself
-	x.sendOp("fetch", 0, "page", 500, false)
+// An op that two hosts reject as invalid is given up and neither host is blamed. If the second host serves
+// it, the first one is blamed.
+func Example_invalidOpBlamesNoHost() {
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.sendOp("wrong", 0, "page", 500, false)
+	sim.finish("wrong", InvalidOp, 5)
+	sim.finish("wrong", InvalidOp, 5)
+	sim.sendOp("right", 0, "page", 500, false)
+	sim.finish("right", InvalidOp, 5)
+	sim.finish("right", Served, 5)
+	sim.sendOp("next", 0, "page", 500, false)
+	cfg := testConfig()
+	cfg.CacheAside = true
+	sim = newHarness(cfg, "a", "o") // a fetch rejected by the origin must not wait for itself
+	sim.sendOp("fetch", 0, "page", 500, false)
 	for _, o := range []Outcome{CacheMiss, InvalidOp, InvalidOp} {
-		x.finish("fetch", o, 5)
+		sim.finish("fetch", o, 5)
 	}
 	// Output:
 	// 0 push wrong to c
@@ -198,35 +201,35 @@
 	//    0 nack fetch
 }
 
-// With every host failing at once, then well again: each op is settled once, and service comes back.
+// All hosts fail at once and then recover: service resumes, and no op stays unsettled.
 func Example_recoveryAfterAllHostsFail() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.silent = true
-	for s := range 8 {
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.silent = true
+	for second := range 8 {
 		served, ops := 0, []*Op{}
 		for i := range 100 {
-			x.advance(10)
-			name := fmt.Sprint("op", s, i)
-			ops = append(ops, x.sendOp(name, 0, name, 300, false))
+			sim.advance(10)
+			name := fmt.Sprint("op", second, i)
+			ops = append(ops, sim.sendOp(name, 0, name, 300, false))
 			for _, op := range ops {
-				if op.inFlight > 0 && s >= 2 && x.t-pendingPush(op).sentAt < 40 {
-					x.finish(op.Ref.(string), Served, 10)
+				if op.inFlight > 0 && second >= 2 && sim.clock-pendingPush(op).sentAt < 40 {
+					sim.finish(op.Ref.(string), Served, 10)
 					served++
 				}
 			}
 		}
-		if s%2 == 1 {
-			fmt.Printf("second %d: %d of 100 acked\n", s+1, served)
+		if second%2 == 1 {
+			fmt.Printf("second %d: %d of 100 acked\n", second+1, served)
 		}
 	}
-	x.advance(1000)
-	open := 0
-	for _, op := range x.ops {
+	sim.advance(1000)
+	unsettled := 0
+	for _, op := range sim.ops {
 		if op.state != stateSettled {
-			open++
+			unsettled++
 		}
 	}
-	fmt.Println("open:", open)
+	fmt.Println("open:", unsettled)
 	// Output:
 	// second 2: 0 of 100 acked
 	// second 4: 100 of 100 acked
@@ -235,29 +238,28 @@
 	// open: 0
 }
 
-// What finds out that a suspect host is still bad is a hundredth of the ops, where others have room: each op that tries is late
-// for it, and each of 300 balancers tried each of two dozen slow hosts every 4 s. A try that is answered costs nothing, so
-// a fleet that is well again is soon in use.
+// While other hosts have capacity, only about one op in a hundred probes a suspect host, since a failed probe
+// delays its op. Answered probes are free, so a recovered fleet is soon in use.
 func Example_probesOfSuspectHostsLimited() {
 	var names []string
 	for i := range 20 {
 		names = append(names, fmt.Sprint("h", i))
 	}
-	x := newHarness(testConfig(), names...)
-	x.silent = true
+	sim := newHarness(testConfig(), names...)
+	sim.silent = true
 	bad := func(h *Host) bool { return len(h.Name) == 2 } // ten of the twenty
 	run := func(well bool) (tried int) {
 		for i := range 3000 {
-			x.advance(10)
+			sim.advance(10)
 			name := fmt.Sprint("op", i)
-			op := x.sendOp(name, 0, name, 500, false)
+			op := sim.sendOp(name, 0, name, 500, false)
 			for op.inFlight > 0 {
 				if p := pendingPush(op); bad(p.Host) && !well {
 					tried++
-					x.finish(name, Failed, 5)
+					sim.finish(name, Failed, 5)
 					continue
 				}
-				x.finish(name, Served, 5)
+				sim.finish(name, Served, 5)
 			}
 		}
 		return tried
@@ -265,13 +267,13 @@
 	fmt.Println("tried in 30 s:", run(false))
 	run(true)
 	suspect := 0
-	for _, h := range x.hosts {
+	for _, h := range sim.hosts {
 		if h.failRate > suspectThreshold {
 			suspect++
 		}
 	}
-	fmt.Println("suspect 30 s after all are well:", suspect)
+	fmt.Println("suspect 30 s after recovery:", suspect)
 	// Output:
 	// tried in 30 s: 51
-	// suspect 30 s after all are well: 0
+	// suspect 30 s after recovery: 0
 }
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -7,66 +7,68 @@
 	"slices"
 )
 
-// rampSimulation plays what n balancers together send hosts that have come up cold, from the moment they are listed until they are warm,
-// where more wants to go there than may. It counts the draws in which one of them got more in some span than it can bear.
+// rampSimulation simulates what all balancers together send to cold hosts, from their listing until they are
+// warm, when demand exceeds what they may get. It counts the runs in which a host got more than it can take
+// in a span of 1 s.
 type rampSimulation struct {
-	n           int     // balancers
-	hosts       int     // all
-	cold        int     // of these
-	rate        float64 // pushes a ms that a warm host can take, and gets
-	skewed      bool    // one balancer in ten has eight times the ops of the others
-	fresh       bool    // the balancers are as new as the hosts: nothing has been seen yet
-	restarted   bool    // they are started anew a second later
-	wants       float64 // pushes that want to go to a cold host, to those that a warm one gets
-	late        float64 // ms by which lists are spread
-	over, drawn int     // draws with a host over its budget and chance, and draws
+	balancers      int
+	hosts          int     // warm and cold
+	coldHosts      int     // the last of the hosts
+	hostRate       float64 // pushes per ms that a warm host gets and can take
+	skewed         bool    // one balancer in ten has eight times the ops of the others
+	newGroup       bool    // the balancers start with the hosts and have no statistics yet
+	restarted      bool    // the balancers restart after a second
+	demand         float64 // pushes wanted for a cold host, relative to those that a warm one gets
+	listSpread     float64 // ms within which the balancers learn of the cold hosts
+	exceeded, runs int     // runs in which a host got more than it can take, and all runs
 }
 
 const (
-	rampWarmUp = 4000.0 // ms, twice what rates are averaged over
+	rampWarmUp = 4000.0 // ms, twice the window of the push rate
 	rampStep   = 10.0   // ms
-	rampRuns   = 20     // of each kind: a few seconds; a thousand were drawn once (docs/standing.md)
+	rampRuns   = 20     // of each case; all take a few seconds
 )
 
+// simulate makes one run with the given seed.
 func (r *rampSimulation) simulate(seed uint64) {
-	rng := rand.New(rand.NewPCG(seed, uint64(r.n)))
-	begins := rampWarmUp
-	if r.fresh {
-		begins = 1
+	rng := rand.New(rand.NewPCG(seed, uint64(r.balancers)))
+	startedAt := rampWarmUp
+	if r.newGroup {
+		startedAt = 1
 	}
-	weights, all := make([]float64, r.n), 0.0
+	weights, totalWeight := make([]float64, r.balancers), 0.0
 	for i := range weights {
 		if weights[i] = 1; r.skewed && i%10 == 0 {
 			weights[i] = 8
 		}
-		all += weights[i]
+		totalWeight += weights[i]
 	}
-	sent := make([][]float64, r.cold)
-	for i := range r.n {
-		part := weights[i] / all
-		lists := begins + rng.Float64()*r.late
-		x, hosts := r.newBalancer(rng.Uint64())
-		for t := 0.0; t < begins+5000; t += rampStep {
-			if r.restarted && t >= begins+1000 && t < begins+1000+rampStep {
-				x, hosts = r.newBalancer(rng.Uint64())
-				r.sendList(x, hosts, begins)
+	sent := make([][]float64, r.coldHosts)
+	for i := range r.balancers {
+		share := weights[i] / totalWeight
+		listedAt := startedAt + rng.Float64()*r.listSpread
+		sim, hosts := r.newBalancer(rng.Uint64())
+		for t := 0.0; t < startedAt+5000; t += rampStep {
+			if r.restarted && t >= startedAt+1000 && t < startedAt+1000+rampStep {
+				sim, hosts = r.newBalancer(rng.Uint64())
+				r.sendList(sim, hosts, startedAt)
 			}
-			if t <= lists && lists < t+rampStep {
-				r.sendList(x, hosts, begins)
+			if t <= listedAt && listedAt < t+rampStep {
+				r.sendList(sim, hosts, startedAt)
 			}
 			warm := r.hosts
-			if t >= lists {
-				warm -= r.cold
+			if t >= listedAt {
+				warm -= r.coldHosts
 			}
-			x.now = t
-			x.warmAnswers += poisson(rng, float64(warm)*r.rate*part*rampStep)
-			if x.now-x.lastSweep >= sweepInterval {
-				x.sweep(x.now - x.lastSweep)
+			sim.now = t
+			sim.warmAnswers += poisson(rng, float64(warm)*r.hostRate*share*rampStep)
+			if sim.now-sim.lastSweep >= sweepInterval {
+				sim.sweep(sim.now - sim.lastSweep)
 			}
-			for c := range r.cold {
+			for c := range r.coldHosts {
 				h := hosts[r.hosts-1-c]
-				for range poisson(rng, r.wants*r.rate*part*rampStep) {
-					if t >= lists && x.hasColdBudget(h) {
+				for range poisson(rng, r.demand*r.hostRate*share*rampStep) {
+					if t >= listedAt && sim.hasColdBudget(h) {
 						h.coldBudget--
 						sent[c] = append(sent[c], t)
 					}
@@ -74,7 +76,7 @@
 			}
 		}
 	}
-	r.drawn++
+	r.runs++
 	for _, times := range sent {
 		slices.Sort(times)
 		from := 0
@@ -82,43 +84,46 @@
 			for t-times[from] >= 1000 {
 				from++
 			}
-			n := 3 * (0.3 + 0.7*math.Min((t-begins)/5000, 1)) * r.rate * 1000
+			n := 3 * (0.3 + 0.7*math.Min((t-startedAt)/5000, 1)) * r.hostRate * 1000
 			if float64(i-from+1) > n+2*math.Sqrt(n)+2 {
-				r.over++
+				r.exceeded++
 				return
 			}
 		}
 	}
 }
 
+// newBalancer starts one balancer of the group, with all hosts listed as warm.
 func (r *rampSimulation) newBalancer(seed uint64) (*harness, []*Host) {
-	s := testConfig()
-	s.Seed, s.GroupSize, s.Quantum = seed, r.n, 1
-	x := &harness{silent: true}
-	x.Balancer = New(s, x, 0)
-	for _, c := range x.Categories { // a host is at work on one op after another
-		c.avgLatency = 1 / r.rate
+	cfg := testConfig()
+	cfg.Seed, cfg.GroupSize, cfg.Quantum = seed, r.balancers, 1
+	sim := &harness{silent: true}
+	sim.Balancer = New(cfg, sim, 0)
+	for _, c := range sim.Categories { // a host serves one op at a time
+		c.avgLatency = 1 / r.hostRate
 	}
 	var hosts []*Host
 	for i := range r.hosts {
 		hosts = append(hosts, &Host{Name: fmt.Sprint("host", i)})
 	}
-	r.sendList(x, hosts, 0)
-	return x, hosts
+	r.sendList(sim, hosts, 0)
+	return sim, hosts
 }
 
-func (r *rampSimulation) sendList(x *harness, hosts []*Host, up float64) {
+// sendList lists all hosts; with up > 0, the cold ones as started at that time, in ms.
+func (r *rampSimulation) sendList(sim *harness, hosts []*Host, up float64) {
 	var entries []HostEntry
 	for i, h := range hosts {
 		l := Listing{Size: 1}
-		if up > 0 && i >= r.hosts-r.cold {
+		if up > 0 && i >= r.hosts-r.coldHosts {
 			l.UpSince = up
 		}
 		entries = append(entries, HostEntry{h, l})
 	}
-	x.HostsListed(entries, true, false)
+	sim.HostsListed(entries, true, false)
 }
 
+// poisson draws from the Poisson distribution with the given mean.
 func poisson(rng *rand.Rand, mean float64) (n int) {
 	for left := rng.Float64(); left > math.Exp(-mean); n++ {
 		left *= rng.Float64()
@@ -126,21 +131,22 @@
 	return n
 }
 
-// What all balancers together send a cold host stays within what it can bear, N, and chance, 2√N + 2: at the end of a
-// replacement, where all is new, as a zone comes back, and where balancers that are restarted have forgotten what they sent.
+// All balancers together send a cold host no more than it can take, N, plus 2√N + 2 for chance: when a host
+// is replaced, when all hosts are new, when a zone returns, and when restarted balancers have forgotten what
+// they sent.
 func Example_coldHostBudgetHeldAcrossBalancers() {
 	for _, n := range []int{1, 5, 20, 30, 300} {
-		for _, k := range rampCases {
-			k.r.n = n
-			draws := rampRuns
+		for _, c := range rampCases {
+			c.ramp.balancers = n
+			runs := rampRuns
 			if n == 300 {
-				draws = rampRuns / 5
+				runs = rampRuns / 5
 			}
-			for seed := range draws {
-				k.r.simulate(uint64(seed))
+			for seed := range runs {
+				c.ramp.simulate(uint64(seed))
 			}
-			if k.r.over > 0 {
-				fmt.Println(n, "balancers,", k.name, "over in", k.r.over, "of", k.r.drawn)
+			if c.ramp.exceeded > 0 {
+				fmt.Println(n, "balancers,", c.name, "over in", c.ramp.exceeded, "of", c.ramp.runs)
 			}
 		}
 	}
@@ -149,11 +155,12 @@
 
 var rampCases = []struct {
 	name string
-	r    rampSimulation
+	ramp rampSimulation
 }{
-	{"a host replaced", rampSimulation{hosts: 10, cold: 1, rate: 0.05, wants: 3, late: 500}},
-	{"a slow fleet", rampSimulation{hosts: 10, cold: 1, rate: 0.004, wants: 3}},
-	{"a zone's return, skewed", rampSimulation{hosts: 12, cold: 4, rate: 0.08, skewed: true, wants: 2, late: 1500}},
-	{"all restarted", rampSimulation{hosts: 6, cold: 6, rate: 0.08, fresh: true, wants: 1}},
-	{"balancers restarted", rampSimulation{hosts: 10, cold: 3, rate: 0.05, restarted: true, wants: 3}},
+	{"a host replaced", rampSimulation{hosts: 10, coldHosts: 1, hostRate: 0.05, demand: 3, listSpread: 500}},
+	{"a slow fleet", rampSimulation{hosts: 10, coldHosts: 1, hostRate: 0.004, demand: 3}},
+	{"a zone's return, skewed",
+		rampSimulation{hosts: 12, coldHosts: 4, hostRate: 0.08, skewed: true, demand: 2, listSpread: 1500}},
+	{"all restarted", rampSimulation{hosts: 6, coldHosts: 6, hostRate: 0.08, newGroup: true, demand: 1}},
+	{"balancers restarted", rampSimulation{hosts: 10, coldHosts: 3, hostRate: 0.05, restarted: true, demand: 3}},
 }
--- a/balance/repeat_test.go
+++ b/balance/repeat_test.go
@@ -4,17 +4,18 @@
 	"fmt"
 )
 
-// What may follow each outcome, for each kind of repeat.
+// What follows each outcome, by repeat policy; "zone dedup" stands for ops deduplicated within a zone.
 func Example_repeatAfterOutcome() {
 	names := []string{"refused", "no connection", "error", "broken", "unknown"}
-	for row, kind := range []string{"redeliverable", "deduplicated", "at most once", "dropped in its zone"} {
+	for row, kind := range []string{"redeliverable", "deduplicated", "at most once", "zone dedup"} {
 		fmt.Print(kind, ":")
 		for i, o := range []Outcome{Overloaded, ConnectFailed, Failed, ConnBroken, UnknownOutcome} {
-			x := newHarness(testConfig(), "a", "b", "c")
-			x.silent = true
-			op := x.sendOp("op", row, "page", 500, false)
-			x.finish("op", o, 1)
-			fmt.Print(" ", names[i], " ", map[opState]string{statePushed: "push", stateSettled: "dead letter"}[op.state])
+			sim := newHarness(testConfig(), "a", "b", "c")
+			sim.silent = true
+			op := sim.sendOp("op", row, "page", 500, false)
+			sim.finish("op", o, 1)
+			fmt.Print(" ", names[i], " ",
+				map[opState]string{statePushed: "push", stateSettled: "dead letter"}[op.state])
 		}
 		fmt.Println()
 	}
@@ -22,31 +23,31 @@
 	// redeliverable: refused push no connection push error push broken push unknown push
 	// deduplicated: refused push no connection push error push broken push unknown push
 	// at most once: refused push no connection push error dead letter broken dead letter unknown dead letter
-	// dropped in its zone: refused push no connection push error dead letter broken dead letter unknown dead letter
+	// zone dedup: refused push no connection push error dead letter broken dead letter unknown dead letter
 }
 
-// Past its window a deduplicated op that may have run is neither pushed again nor nacked.
+// After its window, a deduplicated op that may have run is neither pushed again nor nacked.
 func Example_noRepeatPastDedupWindow() {
-	s := testConfig()
-	s.AllowCancel = false
-	x := newHarness(s, "a", "b", "c")
-	x.sendOp("op", 1, "page", 900, false)
-	x.advance(310)
-	x.finish("op", ConnBroken, 310)
+	cfg := testConfig()
+	cfg.AllowCancel = false
+	sim := newHarness(cfg, "a", "b", "c")
+	sim.sendOp("op", 1, "page", 900, false)
+	sim.advance(310)
+	sim.finish("op", ConnBroken, 310)
 	// Output:
 	// 0 push op to c
 	//  310 dead-letter op
 }
 
-// Every op is settled ahead of its TTL, also one that comes with next to no time left; what is out is
-// called off, and an outcome that comes late changes nothing.
+// Every op is settled before its TTL ends, even one that arrives with almost no time left. Its pushes are
+// cancelled, and a late outcome changes nothing.
 func Example_settledBeforeTTL() {
-	x := newHarness(testConfig(), "a", "b", "c")
-	x.sendOp("read", 0, "page", 200, false)
-	x.sendOp("once", 2, "page", 200, false)
-	x.sendOp("late", 0, "page", 8, false)
-	x.advance(200)
-	x.finish("once", ConnBroken, 200)
+	sim := newHarness(testConfig(), "a", "b", "c")
+	sim.sendOp("read", 0, "page", 200, false)
+	sim.sendOp("once", 2, "page", 200, false)
+	sim.sendOp("late", 0, "page", 8, false)
+	sim.advance(200)
+	sim.finish("once", ConnBroken, 200)
 	// Output:
 	// 0 push read to c
 	//    0 push once to c
@@ -59,16 +60,16 @@
 	//  188 cancel once
 }
 
-// Where a late answer is worth nothing an op is settled at its target latency, and its push called off.
+// Where a late answer is worth nothing, an op is settled at its target latency and its push is cancelled.
 func Example_worthlessLateOpCancelledAtTarget() {
-	s := testConfig()
-	s.Categories[0].LateBenefit = 0
-	x := newHarness(s, "a", "b")
-	x.sendOp("op0", 0, "page", 900, false)
-	x.sendOp("op1", 0, "page", 900, false)
-	x.advance(50)
-	x.finish("op1", Served, 50)
-	x.advance(100)
+	cfg := testConfig()
+	cfg.Categories[0].LateBenefit = 0
+	sim := newHarness(cfg, "a", "b")
+	sim.sendOp("op0", 0, "page", 900, false)
+	sim.sendOp("op1", 0, "page", 900, false)
+	sim.advance(50)
+	sim.finish("op1", Served, 50)
+	sim.advance(100)
 	// Output:
 	// 0 push op0 to a
 	//    0 push op1 to a
@@ -77,62 +78,63 @@
 	//  100 cancel op0
 }
 
-// A stream is bound to its push: neither TTL nor a break pushes it again.
+// An op whose answer is streaming is not pushed again, neither after its TTL nor when the connection breaks.
 func Example_streamNeverRepeated() {
-	x := newHarness(testConfig(), "a", "b")
-	op := x.sendOp("op", 0, "page", 200, false)
-	x.StreamingStarted(pendingPush(op))
-	x.advance(300)
-	x.PushEnded(pendingPush(op), ConnBroken, 300, true, nil)
+	sim := newHarness(testConfig(), "a", "b")
+	op := sim.sendOp("op", 0, "page", 200, false)
+	sim.StreamingStarted(pendingPush(op))
+	sim.advance(300)
+	sim.PushEnded(pendingPush(op), ConnBroken, 300, true, nil)
 	fmt.Println(op.IsDone())
 	// Output:
 	// 0 push op to a
 	// true
 }
 
-// Clients that go away, and pushes that get no answer while their host answers others, are no sign of crowding: the gates
-// stay as wide as they were. An op that takes as long unanswered by all is one.
-func Example_departedClientsDoNotNarrowGates() {
-	x := newHarness(testConfig(), "a", "b", "c", "d", "o")
-	x.silent = true
-	before := x.fleetLimiter.limit
+// Clients that leave, and pushes without an answer while their host answers others, are no sign of overload
+// and do not reduce the limit. Pushes that no host answers are, and do.
+func Example_departedClientsDoNotReduceLimit() {
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "o")
+	sim.silent = true
+	before := sim.fleetLimiter.limit
 	for i := range 200 {
 		name := fmt.Sprint("op", i)
-		x.sendOp(name, 0, name, 500, false)
-		x.advance(3)
-		x.ClientLeft(x.ops[name])
-		x.advance(20)
+		sim.sendOp(name, 0, name, 500, false)
+		sim.advance(3)
+		sim.ClientLeft(sim.ops[name])
+		sim.advance(20)
 	}
-	fmt.Println("as wide as before:", x.fleetLimiter.limit == before)
+	fmt.Println("limit unchanged:", sim.fleetLimiter.limit == before)
 	for i := range 20 {
 		name := fmt.Sprint("late", i)
-		x.sendOp(name, 2, name, 300, false)
-		x.advance(300)
-		x.finish(name, TimedOut, 300)
+		sim.sendOp(name, 2, name, 300, false)
+		sim.advance(300)
+		sim.finish(name, TimedOut, 300)
 	}
-	fmt.Println("narrower:", x.fleetLimiter.limit < before)
+	fmt.Println("narrower:", sim.fleetLimiter.limit < before)
 	// Output:
-	// as wide as before: true
+	// limit unchanged: true
 	// narrower: true
 }
 
-// A long answer that has begun to flow gives back its places at host and gate, and those that waited for its key go on: its
-// client may take seconds over the rest. Where it breaks midway the host is blamed.
-func Example_streamingFreesGatePlaces() {
-	s := testConfig()
-	s.CacheAside = true
-	x := newHarness(s, "a", "origin")
-	x.sendOp("leads", 0, "page", 500, false)
-	x.finish("leads", CacheMiss, 5)
-	x.sendOp("waits", 0, "page", 500, false)
-	p := x.ops["leads"].pushes[1]
-	x.StreamingStarted(p)
-	fmt.Println(p.Host.inFlight, x.originLimiter.inFlight, x.fleetLimiter.inFlight)
-	x.PushEnded(p, Served, 5, true, nil)
-	fmt.Println(p.Host.inFlight, x.originLimiter.inFlight, x.fleetLimiter.inFlight, x.ops["leads"].IsDone())
-	p = x.ops["waits"].pushes[0]
-	x.StreamingStarted(p)
-	x.PushEnded(p, ConnBroken, 5, true, nil)
+// A streaming answer frees its slots at the host and the limiter, and ops that waited for its key go on: the
+// client may take seconds to read it. If it breaks midway, the host is blamed.
+func Example_streamingFreesLimiterSlots() {
+	cfg := testConfig()
+	cfg.CacheAside = true
+	sim := newHarness(cfg, "a", "origin")
+	sim.sendOp("leads", 0, "page", 500, false)
+	sim.finish("leads", CacheMiss, 5)
+	sim.sendOp("waits", 0, "page", 500, false)
+	p := sim.ops["leads"].pushes[1]
+	sim.StreamingStarted(p)
+	fmt.Println(p.Host.inFlight, sim.originLimiter.inFlight, sim.fleetLimiter.inFlight)
+	sim.PushEnded(p, Served, 5, true, nil)
+	fmt.Println(p.Host.inFlight, sim.originLimiter.inFlight, sim.fleetLimiter.inFlight,
+		sim.ops["leads"].IsDone())
+	p = sim.ops["waits"].pushes[0]
+	sim.StreamingStarted(p)
+	sim.PushEnded(p, ConnBroken, 5, true, nil)
 	fmt.Println(p.Host.failRate > suspectThreshold, p.Host.inFlight)
 	// Output:
 	// 0 push leads to a
--- a/balance/rounds_test.go
+++ b/balance/rounds_test.go
@@ -5,154 +5,166 @@
 	"math"
 )
 
-// eventLoop is a front in rounds, in a time of its own: it reads all that has come, hands it over, fires the timer and
-// then writes, and a round takes as long as it is told. Clients send one op after another.
+// eventLoop is a frontend that works in rounds on simulated time: each round reads all input, passes it to
+// the balancer, fires the timer, and then writes. Each client sends its next op after the answer to the last.
 type eventLoop struct {
 	*harness
-	names   int
-	hosts   func(h *Host) float64 // ms that the next answer takes
-	work    func() float64        // ms that the next round takes, beside what its ops do
-	each    float64               // ms that an op, or an answer, takes of a round
-	rng     pcg
-	before  float64 // ms, the start of the last round
-	end     float64 // ms, its end
-	written []*Push // in this round
-	flights []pendingAnswer
-	arrive  []float64 // ms, when clients send next
-	rate    float64   // ops a ms that come whatever is answered
-	queue   []float64 // ms, when those came that have not been read
-	came    float64   // ms, until when they have been counted
-	turned  int       // away for want of room
-	sent    map[*Op]float64
-	acked   int
-	slowest float64 // ms, of those acked, from sending
-	nacked  int
-	called  int
-	blamed  float64 // the most that a host was held to fail
+	opCount      int
+	answerTime   func(h *Host) float64 // ms until the next answer
+	roundTime    func() float64        // ms of the next round, without its ops
+	opTime       float64               // ms of a round for each op or answer
+	rng          pcg
+	roundStart   float64 // ms, start of the last round
+	roundEnd     float64 // ms, end of the last round
+	outgoing     []*Push // to be written in this round
+	answers      []pendingAnswer
+	nextOps      []float64       // ms, when each client sends its next op; until the round ends, -wait
+	rate         float64         // ops per ms that arrive independently of answers
+	unread       []float64       // ms, arrival times of the ops not yet read
+	arrivedUntil float64         // ms, until when arrivals have been counted
+	rejected     int             // ops turned away unread
+	arrivedAt    map[*Op]float64 // ms, arrival times of the ops in flight
+	acked        int
+	slowest      float64 // ms from arrival to answer, at most
+	nacked       int
+	cancels      int
+	maxFailRate  float64 // of any host at any time
 }
 
+// pendingAnswer is a push that has been written, with the time of its answer.
 type pendingAnswer struct {
-	p        *Push
-	went, at float64
+	push           *Push
+	writtenAt, due float64 // ms
 }
 
-func newEventLoop(s Config, clients int, hosts func(h *Host) float64, work func() float64) *eventLoop {
-	x := &eventLoop{harness: newUnlistedHarness(s), hosts: hosts, work: work, each: 0.02, rng: 1, sent: map[*Op]float64{}}
-	x.silent, x.wake = true, 0
-	x.Balancer = New(s, x, 0) // behind this front, not the scene's
-	x.harness.listHosts(true, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
+// newEventLoop starts an event loop with ten hosts. answerTime and roundTime return times in ms.
+func newEventLoop(cfg Config, clients int, answerTime func(h *Host) float64,
+	roundTime func() float64) *eventLoop {
+	loop := &eventLoop{harness: newUnlistedHarness(cfg), answerTime: answerTime, roundTime: roundTime,
+		opTime: 0.02, rng: 1, arrivedAt: map[*Op]float64{}}
+	loop.silent, loop.timerDue = true, 0
+	loop.Balancer = New(cfg, loop, 0) // with this frontend, not the embedded harness
+	loop.harness.listHosts(true, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	for i := range clients {
-		x.arrive = append(x.arrive, float64(i)*0.01)
+		loop.nextOps = append(loop.nextOps, float64(i)*0.01)
 	}
-	return x
+	return loop
 }
 
-func (x *eventLoop) Push(p *Push, _ float64)   { x.written = append(x.written, p) }
-func (x *eventLoop) Cancel(p *Push)            { x.called++; x.harness.called = append(x.harness.called, p) }
-func (x *eventLoop) Nack(op *Op, wait float64) { x.nacked++; x.scheduleNextOp(wait) } // its client comes back
+func (loop *eventLoop) Push(p *Push, _ float64) { loop.outgoing = append(loop.outgoing, p) }
+func (loop *eventLoop) Cancel(p *Push) {
+	loop.cancels++
+	loop.harness.cancelled = append(loop.harness.cancelled, p)
+}
+func (loop *eventLoop) Nack(op *Op, wait float64) { loop.nacked++; loop.scheduleNextOp(wait) }
 
-// scheduleNextOp has a client send its next op, after the answer to the last is written.
-func (x *eventLoop) scheduleNextOp(wait float64) { x.arrive = append(x.arrive, -wait) }
+// scheduleNextOp has a client send its next op wait ms after the end of this round.
+func (loop *eventLoop) scheduleNextOp(wait float64) { loop.nextOps = append(loop.nextOps, -wait) }
 
-// run lets ms pass.
-func (x *eventLoop) run(ms float64) {
-	for until := x.t + ms; x.t < until; {
-		next, waited := min(x.wake, until), true
-		for _, f := range x.flights {
-			next = min(next, f.at)
+// run advances time by ms.
+func (loop *eventLoop) run(ms float64) {
+	for until := loop.clock + ms; loop.clock < until; {
+		next, waited := min(loop.timerDue, until), true
+		for _, a := range loop.answers {
+			next = min(next, a.due)
 		}
-		for _, at := range x.arrive {
+		for _, at := range loop.nextOps {
 			next = min(next, at)
 		}
-		if x.rate > 0 {
-			next = min(next, x.t+0.1)
+		if loop.rate > 0 {
+			next = min(next, loop.clock+0.1)
 		}
-		if next < x.end {
-			next, waited = x.end, false
+		if next < loop.roundEnd {
+			next, waited = loop.roundEnd, false
 		}
-		x.t = next
-		x.runRound(waited)
+		loop.clock = next
+		loop.runRound(waited)
 	}
 }
 
-func (x *eventLoop) runRound(waited bool) {
-	heard := x.t // the earliest that what is read now can have come
+// runRound runs one round. waited tells whether the loop was idle before it, so that its input has only just
+// arrived.
+func (loop *eventLoop) runRound(waited bool) {
+	earliest := loop.clock // when the input of this round can have arrived
 	if !waited {
-		heard = x.before
+		earliest = loop.roundStart
 	}
-	for ; x.rate > 0 && x.came+1/x.rate <= x.t; x.came += 1 / x.rate {
-		x.queue = append(x.queue, x.came)
+	for ; loop.rate > 0 && loop.arrivedUntil+1/loop.rate <= loop.clock; loop.arrivedUntil += 1 / loop.rate {
+		loop.unread = append(loop.unread, loop.arrivedUntil)
 	}
-	wait := x.t - heard
-	if len(x.queue) > 0 {
-		wait = x.t - x.queue[0]
+	wait := loop.clock - earliest
+	if len(loop.unread) > 0 {
+		wait = loop.clock - loop.unread[0]
 	}
-	x.Advance(x.t)
-	x.ReportInputWait(wait)
-	x.confirmCancels()
-	flights, n := x.flights, 0
-	x.flights = nil
-	for _, f := range flights {
+	loop.Advance(loop.clock)
+	loop.ReportInputWait(wait)
+	loop.confirmCancels()
+	answers, n := loop.answers, 0
+	loop.answers = nil
+	for _, a := range answers {
 		switch {
-		case f.p.ended: // called off
-		case f.at > x.t:
-			x.flights = append(x.flights, f)
+		case a.push.ended: // cancelled
+		case a.due > loop.clock:
+			loop.answers = append(loop.answers, a)
 		default:
 			n++
-			x.acked++
-			if came, ok := x.sent[f.p.Op]; ok {
-				x.slowest = max(x.slowest, x.t-came)
-				delete(x.sent, f.p.Op)
+			loop.acked++
+			if arrived, ok := loop.arrivedAt[a.push.Op]; ok {
+				loop.slowest = max(loop.slowest, loop.clock-arrived)
+				delete(loop.arrivedAt, a.push.Op)
 			}
-			x.PushEnded(f.p, Served, max(0, heard-f.went), true, nil)
-			if x.rate == 0 {
-				x.scheduleNextOp(0)
+			loop.PushEnded(a.push, Served, max(0, earliest-a.writtenAt), true, nil)
+			if loop.rate == 0 {
+				loop.scheduleNextOp(0)
 			}
 		}
 	}
-	arrive := x.arrive
-	x.arrive = nil
-	for _, at := range arrive {
-		if at < 0 || at > x.t {
-			x.arrive = append(x.arrive, at)
+	nextOps := loop.nextOps
+	loop.nextOps = nil
+	for _, at := range nextOps {
+		if at < 0 || at > loop.clock {
+			loop.nextOps = append(loop.nextOps, at)
 			continue
 		}
 		n++
-		x.names++
-		x.sendOp(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)
+		loop.opCount++
+		loop.sendOp(fmt.Sprint("op", loop.opCount), 0, fmt.Sprint("key", loop.opCount), 600, false)
 	}
-	for work := 0.0; len(x.queue) > 0 && work < 0.5; x.queue = x.queue[1:] {
-		if room, _ := x.Admit(); !room {
-			x.turned++
-			work += x.each / 20
+	for work := 0.0; len(loop.unread) > 0 && work < 0.5; loop.unread = loop.unread[1:] {
+		if room, _ := loop.Admit(); !room {
+			loop.rejected++
+			work += loop.opTime / 20
 			continue
 		}
 		n++
-		work += x.each
-		x.names++
-		x.sent[x.sendOp(fmt.Sprint("op", x.names), 0, fmt.Sprint("key", x.names), 600, false)] = x.queue[0]
+		work += loop.opTime
+		loop.opCount++
+		loop.arrivedAt[loop.sendOp(fmt.Sprint("op", loop.opCount), 0, fmt.Sprint("key", loop.opCount), 600,
+			false)] = loop.unread[0]
 	}
-	if x.wake <= x.t {
-		x.wake = math.Inf(1)
-		x.TimerFired()
+	if loop.timerDue <= loop.clock {
+		loop.timerDue = math.Inf(1)
+		loop.TimerFired()
 	}
-	x.before, x.end = x.t, x.t+x.work()+float64(n)*x.each
-	for _, p := range x.written {
-		x.PushStarted(p, x.end-x.t, false)
-		x.flights = append(x.flights, pendingAnswer{p, x.end, x.end + x.hosts(p.Host)})
+	loop.roundStart, loop.roundEnd = loop.clock, loop.clock+loop.roundTime()+float64(n)*loop.opTime
+	for _, p := range loop.outgoing {
+		loop.PushStarted(p, loop.roundEnd-loop.clock, false)
+		loop.answers = append(loop.answers,
+			pendingAnswer{p, loop.roundEnd, loop.roundEnd + loop.answerTime(p.Host)})
 	}
-	x.written = nil
-	for i, at := range x.arrive {
+	loop.outgoing = nil
+	for i, at := range loop.nextOps {
 		if at <= 0 {
-			x.arrive[i] = x.end - at + 0.01
+			loop.nextOps[i] = loop.roundEnd - at + 0.01
 		}
 	}
-	for _, h := range x.Balancer.hosts {
-		x.blamed = max(x.blamed, h.failRate)
+	for _, h := range loop.Balancer.hosts {
+		loop.maxFailRate = max(loop.maxFailRate, h.failRate)
 	}
 }
 
-// jitter is a time about a mean: half of it to one and a half, and one time in a hundred twice.
+// jitter returns a random time around mean: between half and one and a half of it, and in one of a hundred
+// cases twice.
 func (p *pcg) jitter(mean float64) float64 {
 	if p.uniform() < 0.01 {
 		return 2 * mean
@@ -160,61 +172,62 @@
 	return mean * (0.5 + p.uniform())
 }
 
-// Fast hosts, and a process that is late itself by up to 10 ms: that is no sign of a host, and no push is called off.
+// Hosts are fast, but the balancer's own process is late by up to 10 ms. No host is blamed for that and no
+// push cancelled.
 func Example_processDelayBlamesNoHost() {
 	for _, usual := range []float64{0.02, 0.2, 2} {
 		for _, clients := range []int{1, 8, 100} {
-			s := testConfig()
-			s.Categories[0].Target = 200
-			var x *eventLoop
-			x = newEventLoop(s, clients, func(*Host) float64 { return x.rng.jitter(usual) }, func() float64 {
-				if x.rng.uniform() < 0.1 {
-					return 1 + 9*x.rng.uniform()
+			cfg := testConfig()
+			cfg.Categories[0].Target = 200
+			var loop *eventLoop
+			loop = newEventLoop(cfg, clients, func(*Host) float64 { return loop.rng.jitter(usual) }, func() float64 {
+				if loop.rng.uniform() < 0.1 {
+					return 1 + 9*loop.rng.uniform()
 				}
 				return 0.01
 			})
-			x.run(5000)
-			fmt.Println(usual, clients, "called off:", x.called, "nacked:", x.nacked, "most blame:", x.blamed)
+			loop.run(5000)
+			fmt.Println(usual, clients, "pushes cancelled:", loop.cancels, "nacked:", loop.nacked,
+				"highest failure rate:", loop.maxFailRate)
 		}
 	}
 	// Output:
-	// 0.02 1 called off: 0 nacked: 0 most blame: 0
-	// 0.02 8 called off: 0 nacked: 0 most blame: 0
-	// 0.02 100 called off: 0 nacked: 0 most blame: 0
-	// 0.2 1 called off: 0 nacked: 0 most blame: 0
-	// 0.2 8 called off: 0 nacked: 0 most blame: 0
-	// 0.2 100 called off: 0 nacked: 0 most blame: 0
-	// 2 1 called off: 0 nacked: 0 most blame: 0
-	// 2 8 called off: 0 nacked: 0 most blame: 0
-	// 2 100 called off: 0 nacked: 0 most blame: 0
+	// 0.02 1 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 0.02 8 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 0.02 100 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 0.2 1 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 0.2 8 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 0.2 100 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 2 1 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 2 8 pushes cancelled: 0 nacked: 0 highest failure rate: 0
+	// 2 100 pushes cancelled: 0 nacked: 0 highest failure rate: 0
 }
 
-// Of fast hosts one hangs: on the mean of twenty times it is found about as soon as before, and whether rounds are late or
-// not.
+// A hung host among fast ones is detected within 30 ms on average, whether rounds are punctual or late.
 func Example_hungHostDetectedPromptly() {
 	for _, usual := range []float64{0.02, 0.2, 2} {
 		for _, late := range []float64{0, 5} {
 			all := 0.0
 			for seed := range 20 {
-				s := testConfig()
-				s.Seed = uint64(seed)
-				s.Categories[0].Target = 200
-				var x *eventLoop
+				cfg := testConfig()
+				cfg.Seed = uint64(seed)
+				cfg.Categories[0].Target = 200
+				var loop *eventLoop
 				hung := false
-				x = newEventLoop(s, 20, func(h *Host) float64 {
+				loop = newEventLoop(cfg, 20, func(h *Host) float64 {
 					if hung && h.Name == "c" {
 						return 1000
 					}
-					return x.rng.jitter(usual)
-				}, func() float64 { return 0.01 + late*x.rng.uniform() })
-				x.rng = pcg(seed)
-				x.run(1000)
+					return loop.rng.jitter(usual)
+				}, func() float64 { return 0.01 + late*loop.rng.uniform() })
+				loop.rng = pcg(seed)
+				loop.run(1000)
 				hung = true
-				began := x.t
-				for x.t < began+300 && !x.isSuspect(x.harness.hosts["c"]) {
-					x.run(0.5)
+				hungAt := loop.clock
+				for loop.clock < hungAt+300 && !loop.isSuspect(loop.harness.hosts["c"]) {
+					loop.run(0.5)
 				}
-				all += x.t - began
+				all += loop.clock - hungAt
 			}
 			fmt.Printf("%v ms, rounds late by up to %v: found after %.1f ms\n", usual, late, all/20)
 		}
@@ -228,20 +241,22 @@
 	// 2 ms, rounds late by up to 5: found after 28.7 ms
 }
 
-// More comes than the process can do, whatever is answered: as much is served as ever, and all of that in time. What
-// is too much is turned away before it is read. Below that nothing is.
+// More ops arrive than the process can handle. It serves as many as it can, all in time, and turns the others
+// away unread. Below its capacity it turns none away.
 func Example_overloadTurnedAwayUnread() {
-	for _, times := range []float64{0.8, 1.5, 2, 4} {
-		s := testConfig()
-		s.Categories[0].Target = 200
-		var x *eventLoop
-		x = newEventLoop(s, 0, func(*Host) float64 { return x.rng.jitter(0.2) }, func() float64 { return 0.02 })
-		x.rate = times / (2 * x.each) // an op costs that twice: as it comes, and with its answer
-		x.run(500)
-		x.acked, x.turned, x.slowest = 0, 0, 0
-		x.run(3000)
-		fmt.Printf("%v times: served %.2f, turned away %.2f, nacked %d, called off %d, in time: %v\n", times,
-			float64(x.acked)*2*x.each/3000, float64(x.turned)*2*x.each/3000, x.nacked, x.called, x.slowest < 200)
+	for _, load := range []float64{0.8, 1.5, 2, 4} {
+		cfg := testConfig()
+		cfg.Categories[0].Target = 200
+		var loop *eventLoop
+		loop = newEventLoop(cfg, 0, func(*Host) float64 { return loop.rng.jitter(0.2) },
+			func() float64 { return 0.02 })
+		loop.rate = load / (2 * loop.opTime) // an op takes opTime twice: on arrival and with its answer
+		loop.run(500)
+		loop.acked, loop.rejected, loop.slowest = 0, 0, 0
+		loop.run(3000)
+		fmt.Printf("%v times: served %.2f, turned away %.2f, nacked %d, called off %d, in time: %v\n", load,
+			float64(loop.acked)*2*loop.opTime/3000, float64(loop.rejected)*2*loop.opTime/3000, loop.nacked,
+			loop.cancels, loop.slowest < 200)
 	}
 	// Output:
 	// 0.8 times: served 0.80, turned away 0.00, nacked 0, called off 0, in time: true
--- a/balance/walk_test.go
+++ b/balance/walk_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 )
 
-// A key walks to its host; with two pushes there the host is full, and the next op spills clockwise.
+// A key's ops go to its host. Two pushes there fill it, and the next op spills clockwise.
 func Example_fullHostSpillsClockwise() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
 	for i := range 3 {
-		x.sendOp(fmt.Sprint("op", i), 0, "page", 500, false)
+		sim.sendOp(fmt.Sprint("op", i), 0, "page", 500, false)
 	}
-	x.finish("op0", Served, 10)
-	x.sendOp("op3", 0, "page", 500, false)
+	sim.finish("op0", Served, 10)
+	sim.sendOp("op3", 0, "page", 500, false)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op1 to c
@@ -22,22 +22,22 @@
 
 // When a host leaves, only its own keys move.
 func Example_minimalRemapping() {
-	homes := func(x *harness) map[string]*Host {
+	homes := func(sim *harness) map[string]*Host {
 		m := map[string]*Host{}
 		for i := range 1000 {
-			op := &Op{Key: fmt.Sprint("key", i), Category: x.Categories[0], Deadline: 1e6}
-			x.OpArrived(op)
+			op := &Op{Key: fmt.Sprint("key", i), Category: sim.Categories[0], Deadline: 1e6}
+			sim.OpArrived(op)
 			m[op.Key] = pendingPush(op).Host
-			x.PushEnded(pendingPush(op), Served, 10, true, nil)
+			sim.PushEnded(pendingPush(op), Served, 10, true, nil)
 		}
 		return m
 	}
-	x := newHarness(testConfig(), "a", "b", "c", "d", "e")
-	x.silent = true
-	before := homes(x)
-	x.updateHost("c", Gone, 0)
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "e")
+	sim.silent = true
+	before := homes(sim)
+	sim.updateHost("c", Gone, 0)
 	moved, needless := 0, 0
-	for k, h := range homes(x) {
+	for k, h := range homes(sim) {
 		if h != before[k] {
 			moved++
 			if before[k].Name != "c" {
@@ -50,15 +50,16 @@
 	// a fifth or so moved: true needlessly: 0
 }
 
-// A draining host is sent nothing more; what is out there may end. An op it turns away goes on.
+// A draining host gets no new op. Its pushes in flight may end, and an op that it turns away goes to another
+// host.
 func Example_drainingHostGetsNoNewOps() {
-	x := newHarness(testConfig(), "a", "b", "c", "d")
-	x.sendOp("op0", 0, "page", 500, false)
-	x.sendOp("op1", 0, "page", 500, false)
-	x.updateHost("c", Draining, 0)
-	x.sendOp("op2", 0, "page", 500, false)
-	x.finish("op1", Overloaded, 1)
-	x.finish("op0", Served, 10)
+	sim := newHarness(testConfig(), "a", "b", "c", "d")
+	sim.sendOp("op0", 0, "page", 500, false)
+	sim.sendOp("op1", 0, "page", 500, false)
+	sim.updateHost("c", Draining, 0)
+	sim.sendOp("op2", 0, "page", 500, false)
+	sim.finish("op1", Overloaded, 1)
+	sim.finish("op0", Served, 10)
 	// Output:
 	// 0 push op0 to c
 	//    0 push op1 to c
@@ -67,26 +68,26 @@
 	//    0 op0 acked
 }
 
-// What other balancers send shows in latency alone: the more of them there are, the earlier a host that
-// answers slowly is full. It takes 60 ms, others 25.
+// The load from other balancers shows only in a host's latency: the larger the group, the earlier a slow host
+// counts as full. The slow host takes 60 ms, the others 25 ms.
 func Example_slowHostFullEarlierInLargeGroup() {
 	for _, group := range []int{1, 3, 12} {
-		s := testConfig()
-		s.GroupSize = group
-		x := newHarness(s, "a", "b", "c", "d")
-		x.silent = true
+		cfg := testConfig()
+		cfg.GroupSize = group
+		sim := newHarness(cfg, "a", "b", "c", "d")
+		sim.silent = true
 		for i := range 20 {
-			x.sendOp("warm", 0, "page", 900, false)
-			x.finish("warm", Served, 60)
+			sim.sendOp("warm", 0, "page", 900, false)
+			sim.finish("warm", Served, 60)
 			key := fmt.Sprint("other", i)
-			x.sendOp(key, 0, key, 900, false)
-			x.finish(key, Served, 25)
+			sim.sendOp(key, 0, key, 900, false)
+			sim.finish(key, Served, 25)
 		}
-		x.pushes = map[string]int{}
+		sim.pushes = map[string]int{}
 		for range 2 {
-			x.sendOp("op", 0, "page", 900, false)
+			sim.sendOp("op", 0, "page", 900, false)
 		}
-		fmt.Println(group, "balancers:", x.pushes["c"], "of 2 at c")
+		fmt.Println(group, "balancers:", sim.pushes["c"], "of 2 at c")
 	}
 	// Output:
 	// 1 balancers: 2 of 2 at c
@@ -94,51 +95,51 @@
 	// 12 balancers: 0 of 2 at c
 }
 
-// A host that turns a hundred balancers away is full of one op each. Each leaves it alone for a while after
-// a push, the longer the more of them there are, and comes back.
-func Example_refusingHostLeftAlone() {
+// A host that turns away a group of a hundred is full with one op of each. Each balancer then pauses after a
+// push to it, the longer the larger the group, and tries again later.
+func Example_overloadedHostPausedInLargeGroup() {
 	for _, group := range []int{3, 100} {
-		s := testConfig()
-		s.GroupSize = group
-		x := newHarness(s, "a", "b", "c", "d")
-		x.silent = true
+		cfg := testConfig()
+		cfg.GroupSize = group
+		sim := newHarness(cfg, "a", "b", "c", "d")
+		sim.silent = true
 		for range 40 {
-			x.advance(100)
-			if pendingPush(x.sendOp("op", 0, "page", 500, false)).Host.Name == "c" {
-				x.finish("op", Overloaded, 1)
+			sim.advance(100)
+			if pendingPush(sim.sendOp("op", 0, "page", 500, false)).Host.Name == "c" {
+				sim.finish("op", Overloaded, 1)
 			}
-			x.finish("op", Served, 25)
+			sim.finish("op", Served, 25)
 		}
-		fmt.Println(group, "balancers: tried", x.pushes["c"], "times of 40")
+		fmt.Println(group, "balancers: tried", sim.pushes["c"], "times of 40")
 	}
 	// Output:
 	// 3 balancers: tried 40 times of 40
 	// 100 balancers: tried 6 times of 40
 }
 
-// A key that has a large part of a balancer's ops goes to several hosts, the others to one each, though no balancer of
-// three hundred ever has two ops out.
+// A key with a large share of the ops goes to several hosts, although each of the 300 balancers has at most
+// one op in flight.
 func Example_hotKeySpreadOverHosts() {
-	s := testConfig()
-	s.AllowHedging = true
+	cfg := testConfig()
+	cfg.AllowHedging = true
 	var names []string
 	for i := range 40 {
 		names = append(names, fmt.Sprint("h", i))
 	}
 	hosts := map[bool]map[string]map[string]bool{false: {}, true: {}}
-	for _, x := range newHarnesses(300, s, names...) {
+	for _, sim := range newHarnesses(300, cfg, names...) {
 		for i := range 30 {
-			x.advance(200)
+			sim.advance(200)
 			key := "busy"
 			if i%5 > 0 {
 				key = fmt.Sprint("key", i%7)
 			}
-			op := x.sendOp("op", 0, key, 500, false)
+			op := sim.sendOp("op", 0, key, 500, false)
 			if hosts[i > 15][key] == nil {
 				hosts[i > 15][key] = map[string]bool{}
 			}
 			hosts[i > 15][key][pendingPush(op).Host.Name] = true
-			x.finish("op", Served, 20)
+			sim.finish("op", Served, 20)
 		}
 	}
 	fmt.Println("at first", len(hosts[false]["busy"]), "later", len(hosts[true]["busy"]))
@@ -146,22 +147,22 @@
 	// at first 5 later 6
 }
 
-// A slow host loses a part of its keys, and all balancers agree on which: they move to where others look for them, too.
+// A slow host loses a share of its keys, and all balancers move the same keys to the same hosts.
 func Example_balancersAgreeOnMovedKeys() {
-	s := testConfig()
-	s.AllowHedging = true
+	cfg := testConfig()
+	cfg.AllowHedging = true
 	moved := map[string]int{}
-	all := newHarnesses(40, s, "a", "b", "c", "d")
-	for _, x := range all {
-		x.hosts["c"].slowdown = 2
+	all := newHarnesses(40, cfg, "a", "b", "c", "d")
+	for _, sim := range all {
+		sim.hosts["c"].slowdown = 2
 		for i := range 60 {
 			key := fmt.Sprint("key", i)
-			home := x.sendOp(key, 0, key, 500, false)
+			home := sim.sendOp(key, 0, key, 500, false)
 			if h := pendingPush(home).Host.Name; h != "c" {
 				moved[key+h]++
 			}
-			x.finish(key, Served, 30)
-			x.hosts["c"].slowdown = 2
+			sim.finish(key, Served, 30)
+			sim.hosts["c"].slowdown = 2
 		}
 	}
 	agreed := 0
@@ -175,21 +176,21 @@
 	// keys not at c: 56 of them agreed on by all: true
 }
 
-// A push whose host has answered others since may be a heavy op: its copy, which would be as heavy, comes half as long later.
-// And where hosts have time to spare a busy key goes to fewer of them.
+// A slow push whose host has answered others since may be a heavy op, so its hedge is sent half a delay
+// later. And while hosts report spare capacity, a hot key goes to fewer of them.
 func Example_hedgeDelayAndHotKeySpread() {
-	x := newHedgeHarness()
-	x.sendOp("heavy", 0, "page", 500, false)
-	x.advance(30)
-	x.sendOp("light", 0, "page", 500, false)
-	x.finish("light", Served, 10)
-	x.advance(60)
+	sim := newHedgeHarness()
+	sim.sendOp("heavy", 0, "page", 500, false)
+	sim.advance(30)
+	sim.sendOp("light", 0, "page", 500, false)
+	sim.finish("light", Served, 10)
+	sim.advance(60)
 	for range 9 {
-		x.keyCounts[x.ops["heavy"].keyHash%keyBuckets]++
-		x.keyCountSum++
+		sim.keyCounts[sim.ops["heavy"].keyHash%keyBuckets]++
+		sim.keyCountSum++
 	}
-	for _, x.avgBusy = range []float64{0, 0.9, 0.3} {
-		fmt.Printf("busy %.1f: over %.1f hosts\n", x.avgBusy, x.hotKeySpread(x.ops["heavy"]))
+	for _, sim.avgBusy = range []float64{0, 0.9, 0.3} {
+		fmt.Printf("busy %.1f: over %.1f hosts\n", sim.avgBusy, sim.hotKeySpread(sim.ops["heavy"]))
 	}
 	// Output:
 	// 0 push heavy to c
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -5,68 +5,70 @@
 	"slices"
 )
 
-// Silent hosts close no gate: with most of the fleet cut off, ops go to those that answer.
-func Example_unresponsiveZoneKeepsGateOpen() {
-	x := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
-	x.silent = true
+// Unresponsive hosts do not close the limiter: with most of the fleet cut off, ops go to the hosts that
+// answer.
+func Example_unresponsiveHostsDoNotReduceLimit() {
+	sim := newHarness(testConfig(), "a", "b", "c", "d", "e", "f")
+	sim.silent = true
 	served := 0
-	var outs []*Op
+	var pending []*Op
 	for i := range 3000 {
-		x.advance(2)
+		sim.advance(2)
 		name := fmt.Sprint("op", i)
-		outs = append(outs, x.sendOp(name, 0, name, 400, false))
-		for _, op := range outs {
+		pending = append(pending, sim.sendOp(name, 0, name, 400, false))
+		for _, op := range pending {
 			if op.inFlight > 0 && pendingPush(op).Host.Name < "c" {
-				x.finish(op.Ref.(string), Served, 10)
+				sim.finish(op.Ref.(string), Served, 10)
 				served++
 			}
 		}
-		outs = slices.DeleteFunc(outs, (*Op).IsDone)
+		pending = slices.DeleteFunc(pending, (*Op).IsDone)
 	}
-	fmt.Println("served:", served > 2700, "gate above its floor:", x.fleetLimiter.limit > x.fleetLimiter.minLimit)
+	fmt.Println("served:", served > 2700, "limit above its minimum:",
+		sim.fleetLimiter.limit > sim.fleetLimiter.minLimit)
 	// Output:
-	// served: true gate above its floor: true
+	// served: true limit above its minimum: true
 }
 
-// newZoneHarness opens a balancer of the first of two zones; the hosts in upper case stand in its zone.
-func newZoneHarness(s Config, names ...string) *harness {
-	s.Zone, s.ZoneCount, s.CrossZoneCost, s.CacheAside = 0, 2, 0.03, true
-	x := newUnlistedHarness(s)
+// newZoneHarness starts a balancer in the first of two zones. Hosts with upper-case names are in its zone.
+func newZoneHarness(cfg Config, names ...string) *harness {
+	cfg.Zone, cfg.ZoneCount, cfg.CrossZoneCost, cfg.CacheAside = 0, 2, 0.03, true
+	sim := newUnlistedHarness(cfg)
 	for _, n := range names {
-		x.hosts[n] = &Host{Name: n, IsOrigin: n[0] == 'o'}
+		sim.hosts[n] = &Host{Name: n, IsOrigin: n[0] == 'o'}
 		zone := 1
 		if n < "a" {
 			zone = 0
 		}
-		x.HostsListed([]HostEntry{{x.hosts[n], Listing{Zone: zone, Size: 1}}}, false, false)
+		sim.HostsListed([]HostEntry{{sim.hosts[n], Listing{Zone: zone, Size: 1}}}, false, false)
 	}
-	return x
+	return sim
 }
 
-// Where crossing zones costs more than a fetch, keys keep to their balancer's zone; an op that fails there goes to the
-// other zone's first host. While fetches come late keys are pooled over all zones again.
+// Where crossing zones costs more than a fetch, keys stay in the balancer's zone, and an op that fails there
+// goes to the first host of the other zone. When fetches are late, keys spread over all zones.
 func Example_keysStayInZone() {
-	x := newZoneHarness(testConfig(), "A", "B", "c", "d", "origin")
-	x.silent = true
+	sim := newZoneHarness(testConfig(), "A", "B", "c", "d", "origin")
+	sim.silent = true
 	near := func(ops int) int {
-		x.pushes = map[string]int{}
+		sim.pushes = map[string]int{}
 		for i := range ops {
 			name := fmt.Sprint("op", i)
-			x.sendOp(name, 0, name, 900, false)
-			x.finish(name, Served, 5)
+			sim.sendOp(name, 0, name, 900, false)
+			sim.finish(name, Served, 5)
 		}
-		return x.pushes["A"] + x.pushes["B"]
+		return sim.pushes["A"] + sim.pushes["B"]
 	}
 	fmt.Println("in the zone:", near(400), "of 400")
-	x.sendOp("fails", 0, "page", 500, false)
-	x.finish("fails", Failed, 1)
-	fmt.Println("then to", pendingPush(x.ops["fails"]).Host.Name)
+	sim.sendOp("fails", 0, "page", 500, false)
+	sim.finish("fails", Failed, 1)
+	fmt.Println("then to", pendingPush(sim.ops["fails"]).Host.Name)
 	for i := range 12 {
 		name := fmt.Sprint("miss", i)
-		x.sendOp(name, 0, name, 900, false)
-		x.finish(name, CacheMiss, 1)
-		x.advance(90)
-		x.finish(name, Served, 90)
+		sim.sendOp(name, 0, name, 900, false)
+		sim.finish(name, CacheMiss, 1)
+		sim.advance(90)
+		sim.finish(name, Served, 90)
 	}
 	fmt.Println("with late fetches:", near(40), "of 40")
 	// Output:
@@ -75,71 +77,72 @@
 	// with late fetches: 26 of 40
 }
 
-// Hosts of the own zone that say they are busier than the others lose their claim on its keys: a zone may have more traffic
-// than its hosts can carry.
+// When the hosts of the own zone report to be busier than the others, its keys spread over all zones: a zone
+// may have more traffic than its hosts can take.
 func Example_overloadedZoneSharesKeys() {
-	x := newZoneHarness(testConfig(), "A", "B", "c", "d", "origin")
-	x.silent = true
+	sim := newZoneHarness(testConfig(), "A", "B", "c", "d", "origin")
+	sim.silent = true
 	for i := range 60 {
 		name := fmt.Sprint("op", i)
-		op := x.sendOp(name, 0, name, 900, false)
-		x.PushEnded(pendingPush(op), Overloaded, 1, false, &LoadReport{Busy: 0.9})
-		x.PushEnded(pendingPush(op), Served, 1, true, &LoadReport{Busy: 0.2})
-		x.advance(400)
+		op := sim.sendOp(name, 0, name, 900, false)
+		sim.PushEnded(pendingPush(op), Overloaded, 1, false, &LoadReport{Busy: 0.9})
+		sim.PushEnded(pendingPush(op), Served, 1, true, &LoadReport{Busy: 0.2})
+		sim.advance(400)
 	}
-	fmt.Println("keys that keep to no zone:", x.crossZoneShare > 0.8)
+	fmt.Println("most keys spread over all zones:", sim.crossZoneShare > 0.8)
 	// Output:
-	// keys that keep to no zone: true
+	// most keys spread over all zones: true
 }
 
-// A deduplicated op that may have run stays with its zone's hosts, also when its last push would be the origin's.
+// An op deduplicated within a zone that may have run stays with the hosts of that zone, even when its last
+// push would go to the origin.
 func Example_zoneDedupNotSentToOrigin() {
-	s := testConfig()
-	s.MaxPushes, s.CacheAside = 2, true
-	x := newHarness(s, "a", "origin")
-	x.sendOp("op", 3, "page", 500, false)
-	x.finish("op", Failed, 5)
+	cfg := testConfig()
+	cfg.MaxPushes, cfg.CacheAside = 2, true
+	sim := newHarness(cfg, "a", "origin")
+	sim.sendOp("op", 3, "page", 500, false)
+	sim.finish("op", Failed, 5)
 	// Output:
 	// 0 push op to a
 	//    0 dead-letter op
 }
 
-// Crossing is cheap here, so keys keep to no zone; but where balancers outnumber the hosts, or tables of connections are
-// found full, they do, for fewer hosts need a connection then.
+// Crossing zones is cheap here, so keys spread over all zones. But where balancers outnumber hosts, or hosts
+// refuse connections, keys stay in the zone, so that fewer hosts need a connection.
 func Example_largeGroupKeepsKeysInZone() {
 	for _, group := range []int{3, 5} {
-		s := testConfig()
-		s.FetchCost, s.GroupSize = 0.03, group
-		x := newZoneHarness(s)
+		cfg := testConfig()
+		cfg.FetchCost, cfg.GroupSize = 0.03, group
+		sim := newZoneHarness(cfg)
 		var entries []HostEntry
 		for i, n := range []string{"A", "B", "c", "d"} {
-			x.hosts[n] = &Host{Name: n}
-			entries = append(entries, HostEntry{x.hosts[n], Listing{Zone: i / 2, Size: 1}})
+			sim.hosts[n] = &Host{Name: n}
+			entries = append(entries, HostEntry{sim.hosts[n], Listing{Zone: i / 2, Size: 1}})
 		}
-		x.HostsListed(entries, true, false)
-		x.silent = true
+		sim.HostsListed(entries, true, false)
+		sim.silent = true
 		near := func() int {
-			x.pushes = map[string]int{}
+			sim.pushes = map[string]int{}
 			for i := range 400 {
 				name := fmt.Sprint("op", i)
-				x.sendOp(name, 0, name, 900, false)
-				x.finish(name, Served, 5)
+				sim.sendOp(name, 0, name, 900, false)
+				sim.finish(name, Served, 5)
 			}
-			return x.pushes["A"] + x.pushes["B"]
+			return sim.pushes["A"] + sim.pushes["B"]
 		}
 		fmt.Println(group, "balancers:", near(), "of 400 in the zone")
 		for i := range 12 {
 			name := fmt.Sprint("turned away", i)
-			x.sendOp(name, 0, name, 900, false)
-			x.finish(name, ConnLimited, 1)
-			x.finish(name, Served, 5)
+			sim.sendOp(name, 0, name, 900, false)
+			sim.finish(name, ConnLimited, 1)
+			sim.finish(name, Served, 5)
 		}
-		x.advance(20000)
-		fmt.Println("after full tables:", near(), "of 400")
+		sim.advance(20000)
+		fmt.Println("after refused connections:", near(), "of 400")
 	}
 	// Output:
 	// 3 balancers: 225 of 400 in the zone
-	// after full tables: 400 of 400
+	// after refused connections: 400 of 400
 	// 5 balancers: 395 of 400 in the zone
-	// after full tables: 400 of 400
+	// after refused connections: 400 of 400
 }
