--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -7,34 +7,35 @@
 	"larchthread/internal/transport"
 )
 
-// AnswerKind of an answer to a push.
+// AnswerKind tells how a cache host or the origin responded to a push.
 type AnswerKind uint8
 
 const (
 	Value       AnswerKind = iota // a value was read
 	Stored                        // a write was done
 	Miss                          // the host does not hold the key
-	Busy                          // turned away, never run
-	Failure                       // an error; it may have run
-	ClientError                   // the command is held for wrong; it may have run
+	Busy                          // rejected before it ran
+	Failure                       // an error; the command may have run
+	ClientError                   // the command was rejected as invalid; it may have run
 )
 
-// Answer is what a cache host or the origin says to a push.
+// Answer is the answer of a cache host or of the origin to a push.
 type Answer struct {
 	Kind       AnswerKind
-	ID         string // of the op it answers; empty where errors don't tell
+	ID         string // id of the answered op; empty where the answer carries none, as errors do
 	Value      transport.Chain
-	StreamSize int // bytes of a value that Flow gives as they come; 0 where Value holds it whole
-	Receipt    string
-	Close      bool // the other side closes the connection behind it
-	WithoutID  bool // it came in a form that tells no id
+	StreamSize int    // bytes of a value that StreamValue delivers as they arrive; 0 where Value holds all of it
+	Receipt    string // token that a completed write returns
+	Close      bool   // the other side closes the connection after this answer
+	WithoutID  bool   // a response of the origin that carries no id
 
-	Load []Attr // what the host tells of its load: names and values, as they came
+	Load []Attr // names and values of the load report, unparsed
 
-	ErrorText string // the line, where a host says that a command is not as it should be
+	ErrorText string // for ClientError: the line or status text that rejects the command
 }
 
-// Matches tells whether an answer can be one to the command: under its id, and of its kind.
+// Matches tells whether the answer can be one to c. Errors match every command. A miss has to carry c's id; so do
+// values and receipts unless they are WithoutID, and they have to be of the kind that c asks for.
 func (a *Answer) Matches(c *Command) bool {
 	switch a.Kind {
 	case Busy, Failure, ClientError:
@@ -42,82 +43,87 @@
 	case Value:
 		return (a.WithoutID || a.ID == c.ID) && c.Verb == Get
 	case Stored:
-		return (a.WithoutID || a.ID == c.ID) && c.Verb == Set && token(a.Receipt)
+		return (a.WithoutID || a.ID == c.ID) && c.Verb == Set && isToken(a.Receipt)
 	}
 	return a.ID == c.ID
 }
 
-// token tells whether s can stand as a word of a line.
-func token(s string) bool {
+// isToken tells whether s fits into a line as one word: it has no blanks or control characters and less than half the
+// length that a line may have.
+func isToken(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] == 0x7f {
 			return false
 		}
 	}
-	return len(s) < lineMost/2
+	return len(s) < maxLineBytes/2
 }
 
-// AnswerReader takes an answer off the front of a connection's bytes. It returns nil while none is whole.
-// After an error nothing further can be read.
+// AnswerReader parses answers from the bytes of one connection. After an error the connection's bytes can't be parsed
+// any further.
 type AnswerReader interface {
+	// Next removes the next answer from in. It returns nil while the answer is incomplete.
 	Next(in *transport.Chain) (*Answer, error)
-	// Flow moves up to most bytes of the value of the last answer to out, and tells whether that was its end.
-	StreamValue(in, out *transport.Chain, most int) (over bool, err error)
-	// End takes word that the other side has closed the connection in good order; it returns the answer that this ends.
+	// StreamValue moves up to most bytes of the last answer's value from in to out, and returns true once all of it
+	// has been moved. It is called only after an answer with a StreamSize above 0.
+	StreamValue(in, out *transport.Chain, maxBytes int) (done bool, err error)
+	// Finish tells the reader that the other side has closed the connection in an orderly way. It returns the
+	// answer that this completes, or nil.
 	Finish() *Answer
-	BufferedBytes() int // bytes of an unfinished answer that it holds
-	Free()              // gives them back
+	BufferedBytes() int // bytes of an incomplete answer that the reader itself holds
+	Free()              // returns their buffers to the pool
 }
 
-// HostAnswerReader reads the answers of a cache host.
+// HostAnswerReader reads the answers of a cache host, in the memcache meta protocol.
 type HostAnswerReader struct {
-	value *Answer // whose value is still on its way
-	size  int
+	pending   *Answer // answer whose value is incomplete, or nil
+	remaining int     // bytes of that value still to be read
 }
 
-// Next implements Reader.
+// Next implements AnswerReader.
 func (r *HostAnswerReader) Next(in *transport.Chain) (*Answer, error) {
-	if r.value == nil {
+	if r.pending == nil {
 		line, whole, err := takeLine(in)
 		if !whole {
 			return nil, err
 		}
-		a, size, err := answer(line)
+		a, size, err := parseAnswer(line)
 		if err != nil || a.Kind != Value {
 			return a, err
 		}
-		r.value, r.size = a, size
+		r.pending, r.remaining = a, size
 	}
-	if r.size > MaxBufferedValueBytes {
-		return r.flows()
+	if r.remaining > MaxBufferedValueBytes {
+		return r.startStream()
 	}
-	value, whole, err := takeValue(in, r.size)
+	value, whole, err := takeValue(in, r.remaining)
 	if !whole {
 		return nil, err
 	}
-	a := r.value
-	a.Value, r.value = value, nil
+	a := r.pending
+	a.Value, r.pending = value, nil
 	return a, nil
 }
 
-// flows gives the answer whose value is long as soon as its line has come.
-func (r *HostAnswerReader) flows() (*Answer, error) {
-	if r.value.StreamSize > 0 {
+// startStream returns the pending answer before its long value has arrived. Calling it again before the value's end is
+// an error.
+func (r *HostAnswerReader) startStream() (*Answer, error) {
+	if r.pending.StreamSize > 0 {
 		return nil, fmt.Errorf("more than the value")
 	}
-	r.value.StreamSize = r.size
-	return r.value, nil
+	r.pending.StreamSize = r.remaining
+	return r.pending, nil
 }
 
-// StreamValue implements Reader.
-func (r *HostAnswerReader) StreamValue(in, out *transport.Chain, most int) (bool, error) {
-	r.size -= move(in, out, min(r.size, most))
-	if r.size > 0 || in.Len() < 2 {
+// StreamValue implements AnswerReader.
+func (r *HostAnswerReader) StreamValue(in, out *transport.Chain, maxBytes int) (bool, error) {
+	r.remaining -= moveBytes(in, out, min(r.remaining, maxBytes))
+	if r.remaining > 0 || in.Len() < 2 {
 		return false, nil
 	}
 	end := in.SplitFront(2)
 	defer end.Free()
-	r.value = nil
+	r.pending = nil
 	if string(end.Bytes()) != "\r\n" {
 		return false, fmt.Errorf("no line end behind a long value")
 	}
@@ -125,34 +131,34 @@
 	return true, nil
 }
 
-// move moves up to n bytes from one chain to the other.
-func move(in, out *transport.Chain, n int) int {
+// moveBytes moves up to n bytes from in to out and returns how many.
+func moveBytes(in, out *transport.Chain, n int) int {
 	n = min(n, in.Len())
 	piece := in.SplitFront(n)
 	out.MoveFrom(&piece)
 	return n
 }
 
-// Finish implements Reader.
+// Finish implements AnswerReader. The end of a connection completes no answer of a cache host.
 func (r *HostAnswerReader) Finish() *Answer { return nil }
 
-// BufferedBytes implements Reader: what is not whole yet still stands in the connection's bytes.
+// BufferedBytes implements AnswerReader. An incomplete answer stays in the connection's input.
 func (r *HostAnswerReader) BufferedBytes() int { return 0 }
 
-// Free implements Reader.
+// Free implements AnswerReader.
 func (r *HostAnswerReader) Free() {}
 
-// answer reads an answer's line. The size is that of the value that follows.
-func answer(line string) (*Answer, int, error) {
-	words := words(line)
-	if len(words) == 0 {
+// parseAnswer parses the line of an answer. It returns the size of the value that follows in bytes.
+func parseAnswer(line string) (*Answer, int, error) {
+	fields := splitFields(line)
+	if len(fields) == 0 {
 		return nil, 0, fmt.Errorf("an empty line")
 	}
-	a, size, flags := &Answer{}, 0, words[1:]
-	switch words[0] {
+	a, size, flags := &Answer{}, 0, fields[1:]
+	switch fields[0] {
 	case "VA":
 		var err error
-		if size, flags, err = length("VA", flags); err != nil {
+		if size, flags, err = takeLength("VA", flags); err != nil {
 			return nil, 0, err
 		}
 		a.Kind = Value
@@ -170,7 +176,7 @@
 		a.Kind, a.ErrorText = ClientError, line
 		return a, 0, nil
 	default:
-		return nil, 0, fmt.Errorf("unknown answer %q", clip(words[0]))
+		return nil, 0, fmt.Errorf("unknown answer %q", truncate(fields[0]))
 	}
 	for _, f := range flags {
 		switch f[0] {
@@ -183,12 +189,12 @@
 	return a, size, nil
 }
 
-// WriteStreamHeader begins the answer to a client whose value flows.
+// WriteStreamHeader writes the first line of a streamed answer to a client.
 func WriteStreamHeader(out *transport.Chain, c *Command, a *Answer) {
 	out.WriteString("VA " + strconv.Itoa(a.StreamSize) + " O" + c.ID + "\r\n")
 }
 
-// WriteAnswer passes an answer on to a client. It takes the value's bytes.
+// WriteAnswer sends an answer on to a client. It moves the bytes of a.Value to out.
 func WriteAnswer(out *transport.Chain, c *Command, a *Answer) {
 	if a.Kind == Stored {
 		out.WriteString("HD O" + c.ID + " c" + a.Receipt + "\r\n")
@@ -204,12 +210,12 @@
 	out.WriteString("\r\n")
 }
 
-// WriteNack tells a client that trying again is harmless, in backoff ms at the earliest.
+// WriteNack tells a client that its op did not run and may be retried, after backoff ms at the earliest.
 func WriteNack(out *transport.Chain, backoff float64) {
 	out.Write(AppendNack(make([]byte, 0, 32), backoff))
 }
 
-// AppendNack appends the same to bytes.
+// AppendNack appends the answer that WriteNack writes to a byte slice.
 func AppendNack(to []byte, backoff float64) []byte {
 	to = append(to, "SERVER_ERROR busy"...)
 	if ms := int64(backoff + 0.5); ms > 0 {
@@ -218,7 +224,7 @@
 	return append(to, "\r\n"...)
 }
 
-// WriteDeadLetter tells a client that its op has failed, with no word on whether it ran.
+// WriteDeadLetter tells a client that its op has failed and may or may not have run.
 func WriteDeadLetter(out *transport.Chain) { out.WriteString("SERVER_ERROR failed\r\n") }
 
 // WriteClientError tells a client what is wrong with its command.
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -8,103 +8,106 @@
 	"larchthread/internal/transport"
 )
 
-const callMost = 4 << 10 // bytes of a call's body: an id, and a line end
+const maxAdminBodyBytes = 4 << 10 // an operator's request holds one id and a line end
 
-// AdminRequest is one call of an operator over HTTP/1.1.
+// AdminRequest is a request of an operator over HTTP/1.1.
 type AdminRequest struct {
 	Method string
-	Path   string // without what follows a question mark
+	Path   string // without the query
 	Body   string
 }
 
-// RequestError is why a call can't be read, with the status that says so.
+// RequestError is the reason why a request can't be parsed, with the HTTP status to answer.
 type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (f *RequestError) Error() string { return f.Text }
+// Error implements error.
+func (e *RequestError) Error() string { return e.Text }
 
-func bad(form string, args ...any) *RequestError {
+// badRequest makes an error with status 400.
+func badRequest(form string, args ...any) *RequestError {
 	return &RequestError{http.StatusBadRequest, fmt.Sprintf(form, args...)}
 }
 
-// AdminRequestReader reads the one call of a connection.
+// AdminRequestReader parses the only request of a connection.
 type AdminRequestReader struct {
-	call   *AdminRequest
-	lines  int
-	size   int // bytes of the body; below 0 while not told
-	inBody bool
+	request       *AdminRequest
+	headLines     int
+	contentLength int // bytes of the body; below 0 while there is no Content-Length
+	inBody        bool
 }
 
-// Next takes the call off the front. It returns nil while it is not whole. After an error nothing further can be read.
+// Next removes the request from in. It returns nil while the request is incomplete. After an error nothing further can
+// be parsed.
 func (r *AdminRequestReader) Next(in *transport.Chain) (*AdminRequest, *RequestError) {
 	for !r.inBody {
 		line, whole, err := takeLine(in)
 		switch {
 		case err != nil:
-			return nil, bad("%v", err)
+			return nil, badRequest("%v", err)
 		case !whole:
 			return nil, nil
 		}
-		if r.lines++; r.lines > headMost {
-			return nil, bad("a head of over %d lines", headMost)
+		if r.headLines++; r.headLines > maxHeadLines {
+			return nil, badRequest("a head of over %d lines", maxHeadLines)
 		}
-		if f := r.line(line); f != nil {
+		if f := r.parseHeadLine(line); f != nil {
 			return nil, f
 		}
 	}
-	n := max(r.size, 0)
+	n := max(r.contentLength, 0)
 	if in.Len() < n {
 		return nil, nil
 	}
 	text := string(in.Bytes())
-	if strings.Trim(text[n:], "\r\n") != "" { // a line end too many does no harm
-		return nil, bad("more than one call")
+	if strings.Trim(text[n:], "\r\n") != "" { // an extra line end is tolerated
+		return nil, badRequest("more than one call")
 	}
-	r.call.Body = text[:n]
+	r.request.Body = text[:n]
 	in.Free()
-	return r.call, nil
+	return r.request, nil
 }
 
-// line takes a line of the head.
-func (r *AdminRequestReader) line(line string) *RequestError {
+// parseHeadLine parses the request line, a header or the empty line that ends the head.
+func (r *AdminRequestReader) parseHeadLine(line string) *RequestError {
 	switch {
-	case r.call == nil:
-		words := strings.Split(line, " ")
-		if len(words) != 3 || !token(words[0]) || !strings.HasPrefix(words[1], "/") || !token(words[1]) ||
-			words[2] != "HTTP/1.1" && words[2] != "HTTP/1.0" {
-			return bad("request line %q", clip(line))
+	case r.request == nil:
+		fields := strings.Split(line, " ")
+		if len(fields) != 3 || !isToken(fields[0]) || !strings.HasPrefix(fields[1], "/") || !isToken(fields[1]) ||
+			fields[2] != "HTTP/1.1" && fields[2] != "HTTP/1.0" {
+			return badRequest("request line %q", truncate(line))
 		}
-		path, _, _ := strings.Cut(words[1], "?")
-		r.call, r.size = &AdminRequest{Method: words[0], Path: path}, -1
+		path, _, _ := strings.Cut(fields[1], "?")
+		r.request, r.contentLength = &AdminRequest{Method: fields[0], Path: path}, -1
 		return nil
 	case line == "":
 		r.inBody = true
 		return nil
 	}
 	name, value, found := strings.Cut(line, ":")
-	if !found || !token(name) || name == "" {
-		return bad("header %q", clip(line))
+	if !found || !isToken(name) || name == "" {
+		return badRequest("header %q", truncate(line))
 	}
 	value = strings.TrimSpace(value)
 	switch http.CanonicalHeaderKey(name) {
 	case "Content-Length":
-		n, err := number(value, callMost)
+		n, err := parseDigits(value, maxAdminBodyBytes)
 		if err != nil {
-			return bad("Content-Length %q, want 0 to %d", clip(value), callMost)
+			return badRequest("Content-Length %q, want 0 to %d", truncate(value), maxAdminBodyBytes)
 		}
-		if r.size >= 0 && r.size != n {
-			return bad("Content-Length %d and %d", r.size, n)
+		if r.contentLength >= 0 && r.contentLength != n {
+			return badRequest("Content-Length %d and %d", r.contentLength, n)
 		}
-		r.size = n
+		r.contentLength = n
 	case "Transfer-Encoding":
 		return &RequestError{http.StatusLengthRequired, "a body without Content-Length"}
 	}
 	return nil
 }
 
-// WriteAdminResponse answers a call; the connection ends behind it.
+// WriteAdminResponse writes a plain-text response that announces the end of the connection.
 func WriteAdminResponse(out *transport.Chain, status int, text string) {
 	out.WriteString(fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"+
 		"Connection: close\r\n\r\n%s", status, http.StatusText(status), len(text), text))
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -1,6 +1,7 @@
-// Package protocol reads and writes what goes over the wire: the meta commands of the memcache text
-// protocol, HTTP/1.1 as the origin and discovery speak it, and discovery's lists. Readers take bytes in
-// any split and touch no socket.
+// Package protocol parses and writes what is sent over connections: the meta commands of the memcache text protocol,
+// HTTP/1.1 as spoken with the origin, discovery and operators, and discovery's host lists.
+//
+// Readers accept bytes in pieces of any size and use no sockets.
 package protocol
 
 import (
@@ -15,18 +16,18 @@
 )
 
 const (
-	MaxBufferedValueBytes = 64 << 10 // bytes of a value that is read whole before it is passed on
-	valueMost             = 4 << 20  // bytes of a value
-	lineMost              = 4 << 10  // bytes of a line: a key, an id and a list of names and values, with room to spare
-	keyMost               = 250      // bytes of a key, as memcache has it
-	ttlMost               = 1e9      // ms for which a client may wait, eleven days: more is a fault of the client
-	attrsUsual            = 4        // names and values of a command: more take another allocation
-	headMost              = 64       // lines of a response's head: a dozen are usual
-	loadMost              = 16       // values of a load report: there are eight names
-	bodyMost              = 8 << 20  // bytes of a body: a list of tens of thousands of hosts
+	MaxBufferedValueBytes = 64 << 10 // longer values are streamed
+	maxValueBytes         = 4 << 20
+	maxLineBytes          = 4 << 10 // fits a key, an id and the attributes
+	maxKeyBytes           = 250     // limit of memcache
+	maxTTL                = 1e9     // ms, about eleven days: more is an error of the client
+	usualAttrs            = 4       // attributes of a command that take no second allocation
+	maxHeadLines          = 64      // lines of an HTTP head
+	maxLoadValues         = 16      // values of a load report
+	maxBodyBytes          = 8 << 20 // fits a list of tens of thousands of hosts
 )
 
-// Verb is what a command asks for.
+// Verb is the operation that a command asks for.
 type Verb uint8
 
 const (
@@ -39,59 +40,60 @@
 type Command struct {
 	Verb     Verb
 	Key      string
-	ID       string // what stands behind O
+	ID       string // from flag O
 	Category string
-	TTL      float64 // ms for which the client waits
-	Attrs    []Attr  // the list of names and values, as it came
+	TTL      float64 // ms that the client waits for the answer
+	Attrs    []Attr  // from flag P, unparsed
 	Value    transport.Chain
-	Err      error // why it can't be served; the bytes behind it can be read on
+	Err      error // why the command can't be served, or nil; the commands after it can still be read
 
 	flags []string
 }
 
-// Attr is a name and a value of a command's list.
+// Attr is a named attribute of a command or a value of a load report.
 type Attr struct{ Name, Value string }
 
-// CommandReader reads commands from the bytes of a connection.
+// CommandReader parses commands from the bytes of one connection.
 type CommandReader struct {
-	set  *Command // whose value is still on its way
-	size int      // bytes of that value
-	line string   // of that command
+	pending   *Command // write whose value is incomplete, or nil
+	valueSize int      // bytes of that value
+	line      string   // line of that command
 }
 
-// Next takes a command off the front. It returns nil while none is whole. After an error nothing further
-// can be read from the connection.
+// Next removes the next command from in. It returns nil while the command is incomplete. After an error the
+// connection's bytes can't be parsed any further.
 func (r *CommandReader) Next(in *transport.Chain) (*Command, error) {
-	if r.set == nil {
+	if r.pending == nil {
 		line, whole, err := takeLine(in)
 		if !whole {
 			return nil, err
 		}
-		c, size, err := command(line)
+		c, size, err := parseCommand(line)
 		if err != nil || c.Verb != Set {
 			return c, err
 		}
-		r.set, r.size, r.line = c, size, line
+		r.pending, r.valueSize, r.line = c, size, line
 	}
-	value, whole, err := takeValue(in, r.size)
+	value, whole, err := takeValue(in, r.valueSize)
 	if !whole {
 		return nil, err
 	}
-	c := r.set
-	c.Value, r.set = value, nil
+	c := r.pending
+	c.Value, r.pending = value, nil
 	return c, nil
 }
 
-// SkipGet takes a whole command that asks for a value off the front, unread but for its category. It returns false, and takes
-// nothing, where none stands there or its category is not one of those.
+// SkipGet removes a complete get command from in, of which it parses only the category, and returns the entry of
+// categories. Where the next command is incomplete, not a get, or of a category that is not in categories, it returns
+// false and leaves in unchanged.
 func SkipGet[T any](r *CommandReader, in *transport.Chain, categories map[string]T) (category T, skipped bool) {
 	line := in.PeekLine()
-	rest, is := bytes.CutPrefix(line, []byte("mg "))
-	if !is || r.set != nil {
+	rest, isGet := bytes.CutPrefix(line, []byte("mg "))
+	if !isGet || r.pending != nil {
 		return category, false
 	}
 	rest = bytes.TrimLeft(rest, " ")
-	_, attrs, _ := bytes.Cut(rest[bytes.IndexByte(rest, ' ')+1:], []byte(" P")) // the key may look like anything
+	_, attrs, _ := bytes.Cut(rest[bytes.IndexByte(rest, ' ')+1:], []byte(" P")) // starts after the key, which may contain anything
 	for !bytes.HasPrefix(attrs, []byte("c=")) {
 		_, rest, more := bytes.Cut(attrs, []byte(","))
 		if !more {
@@ -109,16 +111,16 @@
 	return category, skipped
 }
 
-// takeLine takes a line off the front, once it is whole.
+// takeLine removes a line from in once it is complete.
 func takeLine(in *transport.Chain) (line string, whole bool, err error) {
 	line, whole = in.ReadLine()
-	if len(line) > lineMost || !whole && in.Len() > lineMost {
-		return "", false, fmt.Errorf("a line of over %d bytes", lineMost)
+	if len(line) > maxLineBytes || !whole && in.Len() > maxLineBytes {
+		return "", false, fmt.Errorf("a line of over %d bytes", maxLineBytes)
 	}
 	return line, whole, nil
 }
 
-// takeValue takes a value and the line end behind it off the front, once they are whole.
+// takeValue removes a value of size bytes and the line end after it from in once both are complete.
 func takeValue(in *transport.Chain, size int) (value transport.Chain, whole bool, err error) {
 	if in.Len() < size+2 {
 		return value, false, nil
@@ -133,33 +135,36 @@
 	return value, true, nil
 }
 
-// PendingLine is what has been taken of a command that is not whole, as it came.
+// PendingLine returns the line, with its line end, of a write whose value is incomplete, or "" where there is none.
+// Bytes of the value are still in the connection's input.
 func (r *CommandReader) PendingLine() string {
-	if r.set == nil {
+	if r.pending == nil {
 		return ""
 	}
 	return r.line + "\r\n"
 }
 
-// HasPending tells whether part of a command has been taken.
-func (r *CommandReader) HasPending() bool { return r.set != nil }
+// HasPending tells whether the line of a write has been read, but not all of its value.
+func (r *CommandReader) HasPending() bool { return r.pending != nil }
 
-// PendingValueBytes is how many bytes the value has that is on its way.
+// PendingValueBytes returns the size of the value that is incomplete, or 0.
 func (r *CommandReader) PendingValueBytes() int {
-	if r.set == nil {
+	if r.pending == nil {
 		return 0
 	}
-	return r.size
+	return r.valueSize
 }
 
-// command reads a command's line. The size is that of the value that follows.
-func command(line string) (*Command, int, error) {
-	words := words(line)
-	if len(words) == 0 {
+// parseCommand parses the line of a command. It returns the size of the value that follows in bytes. An invalid command
+// has its Err set. An error is returned only where the length of the value is invalid, as the bytes after the line
+// can't be read then.
+func parseCommand(line string) (*Command, int, error) {
+	fields := splitFields(line)
+	if len(fields) == 0 {
 		return &Command{Err: errors.New("an empty line")}, 0, nil
 	}
-	c, size, rest := &Command{}, 0, words[1:]
-	switch words[0] {
+	c, size, args := &Command{}, 0, fields[1:]
+	switch fields[0] {
 	case "mn":
 		c.Verb = Ping
 		return c, 0, nil
@@ -168,54 +173,54 @@
 	case "ms":
 		c.Verb = Set
 	default:
-		return &Command{Err: fmt.Errorf("unknown command %q", clip(words[0]))}, 0, nil
+		return &Command{Err: fmt.Errorf("unknown command %q", truncate(fields[0]))}, 0, nil
 	}
-	if len(rest) > 0 {
-		c.Key, rest = rest[0], rest[1:]
+	if len(args) > 0 {
+		c.Key, args = args[0], args[1:]
 	}
 	if c.Verb == Set {
 		var err error
-		if size, rest, err = length("ms", rest); err != nil {
+		if size, args, err = takeLength("ms", args); err != nil {
 			return nil, 0, err
 		}
 	}
-	c.flags = rest
-	c.Err = c.read()
+	c.flags = args
+	c.Err = c.parseFlags()
 	return c, size, nil
 }
 
-// length takes a value's length off the front of the words that follow verb.
-func length(verb string, words []string) (size int, rest []string, err error) {
-	if len(words) == 0 {
+// takeLength parses the value's length, which is the first of args, and returns the other args. Errors begin with verb.
+func takeLength(verb string, args []string) (size int, rest []string, err error) {
+	if len(args) == 0 {
 		return 0, nil, fmt.Errorf("%s: no length", verb)
 	}
-	if size, err = number(words[0], valueMost); err != nil {
-		return 0, nil, fmt.Errorf("%s: length %q, want 0 to %d", verb, clip(words[0]), valueMost)
+	if size, err = parseDigits(args[0], maxValueBytes); err != nil {
+		return 0, nil, fmt.Errorf("%s: length %q, want 0 to %d", verb, truncate(args[0]), maxValueBytes)
 	}
-	return size, words[1:], nil
+	return size, args[1:], nil
 }
 
-// number reads a number written in digits alone, as all sides write them: what a looser reader takes for one may be
-// a spoilt line, or mean something else to the next reader.
-func number(s string, most int) (int, error) {
+// parseDigits parses a number from 0 to most. It accepts digits only: a sign or a base prefix may mean something else
+// to the next reader, or come from a corrupted line.
+func parseDigits(s string, limit int) (int, error) {
 	if s == "" || strings.Trim(s, "0123456789") != "" {
-		return 0, fmt.Errorf("%q, want digits", clip(s))
+		return 0, fmt.Errorf("%q, want digits", truncate(s))
 	}
 	n, err := strconv.Atoi(s)
-	if err != nil || n > most {
-		return 0, fmt.Errorf("%q, want 0 to %d", clip(s), most)
+	if err != nil || n > limit {
+		return 0, fmt.Errorf("%q, want 0 to %d", truncate(s), limit)
 	}
 	return n, nil
 }
 
-// words splits a line at its blanks.
-func words(line string) []string {
+// splitFields splits a line at its blanks.
+func splitFields(line string) []string {
 	return strings.FieldsFunc(line, func(r rune) bool { return r == ' ' })
 }
 
-// read takes what is needed from the flags.
-func (c *Command) read() error {
-	if !token(c.Key) || slices.ContainsFunc(c.flags, func(f string) bool { return !token(f) }) {
+// parseFlags sets the fields of the command from its flags, and returns what is missing or invalid.
+func (c *Command) parseFlags() error {
+	if !isToken(c.Key) || slices.ContainsFunc(c.flags, func(f string) bool { return !isToken(f) }) {
 		return errors.New("a control character in the line")
 	}
 	for _, f := range c.flags {
@@ -229,7 +234,7 @@
 			if c.Attrs != nil {
 				return errors.New("P: twice")
 			}
-			c.Attrs = make([]Attr, 0, attrsUsual)
+			c.Attrs = make([]Attr, 0, usualAttrs)
 			for pair := range strings.SplitSeq(f[1:], ",") {
 				name, value, _ := strings.Cut(pair, "=")
 				c.Attrs = append(c.Attrs, Attr{name, value})
@@ -241,8 +246,8 @@
 					c.Category = value
 				case "d":
 					ms, err := strconv.ParseFloat(value, 64)
-					if err != nil || strings.Trim(value, "0123456789.") != "" || ms > ttlMost || c.TTL > 0 {
-						return fmt.Errorf("d: %q, want milliseconds", clip(value))
+					if err != nil || strings.Trim(value, "0123456789.") != "" || ms > maxTTL || c.TTL > 0 {
+						return fmt.Errorf("d: %q, want milliseconds", truncate(value))
 					}
 					c.TTL = ms
 				}
@@ -252,8 +257,8 @@
 	switch {
 	case c.Key == "":
 		return errors.New("key: missing")
-	case len(c.Key) > keyMost:
-		return fmt.Errorf("key: %d bytes, want %d at the most", len(c.Key), keyMost)
+	case len(c.Key) > maxKeyBytes:
+		return fmt.Errorf("key: %d bytes, want %d at the most", len(c.Key), maxKeyBytes)
 	case c.ID == "":
 		return errors.New("O: missing")
 	case c.Category == "":
@@ -264,52 +269,54 @@
 	return nil
 }
 
-// clip shortens what is quoted in an error.
-func clip(s string) string { return s[:min(len(s), 40)] }
+// truncate limits text that is quoted in an error to 40 bytes.
+func truncate(s string) string { return s[:min(len(s), 40)] }
 
-// attrs writes the list of names and values, with d in place of the client's own.
-func (c *Command) attrs(b *transport.Chain, d int) {
+// writeAttrs writes the attributes, with d in place of the client's own value of d.
+func (c *Command) writeAttrs(out *transport.Chain, d int) {
 	var digits [20]byte
 	for i, a := range c.Attrs {
 		if i > 0 {
-			b.WriteString(",")
+			out.WriteString(",")
 		}
-		b.WriteString(a.Name)
-		b.WriteString("=")
+		out.WriteString(a.Name)
+		out.WriteString("=")
 		if a.Name == "d" {
-			b.Write(strconv.AppendInt(digits[:0], int64(d), 10))
+			out.Write(strconv.AppendInt(digits[:0], int64(d), 10))
 		} else {
-			b.WriteString(a.Value)
+			out.WriteString(a.Value)
 		}
 	}
 }
 
-// ValueWriter passes on a command's value by and by: all of it at once would be in memory twice.
+// ValueWriter copies a command's value to a connection piece by piece, so that a long value is not held in memory
+// twice.
 type ValueWriter struct {
-	value *transport.Chain
-	at    int
-	end   string // behind the value
+	value  *transport.Chain
+	offset int    // bytes copied so far
+	suffix string // written after the value
 }
 
-// WriteNext appends the next piece to out, and tells whether there was one.
-func (s *ValueWriter) WriteNext(out *transport.Chain) bool {
-	if s.value == nil {
+// WriteNext appends the next piece to out, and returns false where nothing was left.
+func (w *ValueWriter) WriteNext(out *transport.Chain) bool {
+	if w.value == nil {
 		return false
 	}
-	n := min(MaxBufferedValueBytes, s.value.Len()-s.at)
-	out.AppendRange(s.value, s.at, n)
-	if s.at += n; s.at == s.value.Len() {
-		out.WriteString(s.end)
-		s.value = nil
+	n := min(MaxBufferedValueBytes, w.value.Len()-w.offset)
+	out.AppendRange(w.value, w.offset, n)
+	if w.offset += n; w.offset == w.value.Len() {
+		out.WriteString(w.suffix)
+		w.value = nil
 	}
 	return true
 }
 
-// Done tells whether all has been passed on.
-func (s *ValueWriter) Done() bool { return s.value == nil }
+// Done tells whether all of the value has been written.
+func (w *ValueWriter) Done() bool { return w.value == nil }
 
-// WriteCommand passes a command on to a cache host, which hears that the answer is waited for d ms.
-func WriteCommand(out *transport.Chain, c *Command, d int) (s ValueWriter) {
+// WriteCommand sends a command to a cache host with d, the ms that the balancer waits for the answer, in place of the
+// client's. The ValueWriter holds what is left of a long value.
+func WriteCommand(out *transport.Chain, c *Command, d int) (rest ValueWriter) {
 	if c.Verb == Set {
 		fmt.Fprintf(out, "ms %s %d", c.Key, c.Value.Len())
 	} else {
@@ -319,7 +326,7 @@
 	for _, f := range c.flags {
 		if f[0] == 'P' {
 			out.WriteString(" P")
-			c.attrs(out, d)
+			c.writeAttrs(out, d)
 		} else {
 			out.WriteString(" ")
 			out.WriteString(f)
@@ -327,21 +334,21 @@
 	}
 	out.WriteString("\r\n")
 	if c.Verb == Set {
-		s = ValueWriter{value: &c.Value, end: "\r\n"}
-		s.WriteNext(out)
+		rest = ValueWriter{value: &c.Value, suffix: "\r\n"}
+		rest.WriteNext(out)
 	}
-	return s
+	return rest
 }
 
-// ErrIncomplete is the error of a command of which the rest does not come.
+// ErrIncomplete is the error of a command whose remaining bytes did not arrive.
 var ErrIncomplete = errors.New("the rest of the command did not come")
 
-// DuplicateIDError is the error of a command under the id of an op that has no answer yet.
+// DuplicateIDError is the error of a command that has the id of an op not answered yet.
 func DuplicateIDError(c *Command) error {
-	return fmt.Errorf("O: %q is the id of an open op", clip(c.ID))
+	return fmt.Errorf("O: %q is the id of an open op", truncate(c.ID))
 }
 
-// UnknownCategoryError is the error of a command whose category is not known.
+// UnknownCategoryError is the error of a command whose category is not configured.
 func UnknownCategoryError(c *Command) error {
-	return fmt.Errorf("c: unknown category %q", clip(c.Category))
+	return fmt.Errorf("c: unknown category %q", truncate(c.Category))
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -8,7 +8,7 @@
 	"larchthread/internal/transport"
 )
 
-// Phase of a host in discovery's list.
+// Phase is the stage of life of a host in discovery's list.
 type Phase string
 
 const (
@@ -17,7 +17,7 @@
 	Terminated  Phase = "terminated"
 )
 
-// Member is one line of discovery's list.
+// Member is a host in discovery's list.
 type Member struct {
 	ID       string
 	Address  netip.AddrPort
@@ -26,24 +26,25 @@
 	Cell     int
 	Phase    Phase
 	Size     float64
-	UpSince  float64 // Unix ms, 0 for long ago
+	UpSince  float64 // start of the host in Unix ms, 0 for long ago
 }
 
-// HostList is discovery's list, or changes to it.
+// HostList is discovery's complete list, or the changes since an earlier revision.
 type HostList struct {
 	Revision     uint64
 	Complete     bool
 	Members      []Member
-	MemberErrors []error // why lines were left out
+	MemberErrors []error // why members were left out
 }
 
-// listForm is a list in discovery's form.
+// listForm is the JSON form of a HostList.
 type listForm struct {
 	Revision *uint64      `json:"revision"`
 	Complete bool         `json:"complete"`
 	Members  []memberForm `json:"members"`
 }
 
+// memberForm is the JSON form of a Member.
 type memberForm struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -55,7 +56,7 @@
 	UpSince  float64 `json:"up_since_ms"`
 }
 
-// MarshalJSON writes discovery's form.
+// MarshalJSON encodes the list in discovery's form.
 func (l *HostList) MarshalJSON() ([]byte, error) {
 	form := listForm{Revision: &l.Revision, Complete: l.Complete}
 	for _, m := range l.Members {
@@ -65,7 +66,8 @@
 	return json.Marshal(form)
 }
 
-// UnmarshalJSON reads discovery's form. A line that can't be read is left out: the others still have to be heeded.
+// UnmarshalJSON decodes a list in discovery's form. An invalid member is left out and reported in MemberErrors, so that
+// the other members still take effect.
 func (l *HostList) UnmarshalJSON(raw []byte) error {
 	var form listForm
 	if err := json.Unmarshal(raw, &form); err != nil {
@@ -83,10 +85,10 @@
 			l.MemberErrors = append(l.MemberErrors, fmt.Errorf("%s: id: missing", at))
 			continue
 		case err != nil && m.Phase != Terminated:
-			l.MemberErrors = append(l.MemberErrors, fmt.Errorf("%s: host_port: %q, want an address with a port", at, clip(m.HostPort)))
+			l.MemberErrors = append(l.MemberErrors, fmt.Errorf("%s: host_port: %q, want an address with a port", at, truncate(m.HostPort)))
 			continue
 		case m.Phase != InService && m.Phase != Terminating && m.Phase != Terminated:
-			l.MemberErrors = append(l.MemberErrors, fmt.Errorf("%s: phase: unknown %q", at, clip(string(m.Phase))))
+			l.MemberErrors = append(l.MemberErrors, fmt.Errorf("%s: phase: unknown %q", at, truncate(string(m.Phase))))
 			continue
 		}
 		l.Members = append(l.Members, Member{m.ID, address, m.Locality, m.Flavor, m.Cell, m.Phase, m.Size,
@@ -95,54 +97,57 @@
 	return nil
 }
 
-// ListReader reads discovery's answers.
+// ListReader parses discovery's HTTP responses.
 type ListReader struct{ responses ResponseReader }
 
-// NewListReader makes a reader of discovery's answers.
-func NewListReader() *ListReader { return &ListReader{ResponseReader{MaxBodyBytes: bodyMost}} }
+// NewListReader makes a reader for the bytes of one connection.
+func NewListReader() *ListReader { return &ListReader{ResponseReader{MaxBodyBytes: maxBodyBytes}} }
 
-// Next takes a list off the front. It returns nil while none is whole. Any answer but a list is an error.
+// Next removes the next list from in. It returns nil while the list is incomplete, and true where the connection closes
+// after it. Any response but a list is an error.
 func (r *ListReader) Next(in *transport.Chain) (*HostList, bool, error) {
 	a, err := r.responses.Next(in)
 	if a == nil {
 		return nil, false, err
 	}
-	return list(a)
+	return parseHostList(a)
 }
 
-// Finish is Next for the end of the connection.
+// Finish tells the reader that the connection has ended. It returns the list that this completes, or nil.
 func (r *ListReader) Finish() (*HostList, bool, error) {
 	if a := r.responses.Finish(); a != nil {
-		return list(a)
+		return parseHostList(a)
 	}
 	return nil, true, nil
 }
 
-// Free gives back what an unfinished answer holds.
+// Free releases the buffers of an incomplete response.
 func (r *ListReader) Free() { r.responses.Free() }
 
-func list(a *Response) (l *HostList, last bool, err error) {
-	defer a.Body.Free()
-	if a.Status != 200 {
-		return nil, a.Close, fmt.Errorf("discovery answers %d", a.Status)
+// parseHostList parses the list in a response and frees the body. It returns true where the connection closes after it.
+func parseHostList(response *Response) (l *HostList, last bool, err error) {
+	defer response.Body.Free()
+	if response.Status != 200 {
+		return nil, response.Close, fmt.Errorf("discovery answers %d", response.Status)
 	}
 	l = &HostList{}
-	if err := json.Unmarshal(a.Body.Bytes(), l); err != nil {
-		return nil, a.Close, err
+	if err := json.Unmarshal(response.Body.Bytes(), l); err != nil {
+		return nil, response.Close, err
 	}
-	return l, a.Close, nil
+	return l, response.Close, nil
 }
 
-// WriteListRequest asks discovery for the whole list.
+// WriteListRequest requests the complete list.
 func WriteListRequest(out *transport.Chain, host string) {
-	writeCall(out, host, "")
+	writeDiscoveryRequest(out, host, "")
 }
 
-// WriteWatchRequest asks discovery for what is newer than a revision, within wait ms.
+// WriteWatchRequest requests the changes since a revision. Discovery answers after wait ms at the latest.
 func WriteWatchRequest(out *transport.Chain, host string, revision uint64, wait int) {
-	writeCall(out, host, fmt.Sprintf("?index=%d&wait=%d", revision, wait))
+	writeDiscoveryRequest(out, host, fmt.Sprintf("?index=%d&wait=%d", revision, wait))
 }
 
-func writeCall(out *transport.Chain, host, query string) {
+// writeDiscoveryRequest writes a GET request for the host list.
+func writeDiscoveryRequest(out *transport.Chain, host, query string) {
 	fmt.Fprintf(out, "GET /discovery/hosts%s HTTP/1.1\r\nHost: %s\r\n\r\n", query, host)
 }
--- a/internal/protocol/many_test.go
+++ b/internal/protocol/many_test.go
@@ -11,11 +11,11 @@
 	"larchthread/internal/transport"
 )
 
-// A list of 1,024 hosts, or 2,000, is read whole as discovery sends it, with a length or in chunks, piece by piece; so is
-// one change behind it on the same connection.
+// Guards the parsing of long lists: 1,024 or 2,000 hosts, sized or chunked, split over many reads, with a change after
+// them on the same connection.
 func TestListOfManyHosts(t *testing.T) {
 	for _, n := range []int{1024, 2000} {
-		whole := manyListed(n)
+		whole := largeHostList(n)
 		text, err := json.Marshal(whole)
 		if err != nil {
 			t.Fatal(err)
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, form := range []func(body []byte) string{sizedAnswer, chunkedAnswer} {
+		for _, form := range []func(body []byte) string{sizedResponse, chunkedResponse} {
 			loop, err := transport.NewLoop(256, 64<<20, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
@@ -44,7 +44,7 @@
 					lists = append(lists, l)
 				}
 			}
-			if l, _, err := reader.Next(&in); l != nil || err != nil { // the last piece had the end of the first
+			if l, _, err := reader.Next(&in); l != nil || err != nil { // both lists may have ended in the last piece
 				lists = append(lists, l)
 			}
 			if len(lists) != 2 || len(lists[0].Members) != n || len(lists[0].MemberErrors) > 0 || len(lists[1].Members) != 1 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// manyListed is a list of so many hosts, with names as clouds give them.
-func manyListed(n int) *HostList {
+// largeHostList makes a list of n hosts whose names are as long as those of cloud providers.
+func largeHostList(n int) *HostList {
 	l := &HostList{Revision: 7, Complete: true}
 	for i := range n {
 		l.Members = append(l.Members, Member{ID: fmt.Sprintf("cache%d-%s", i, strings.Repeat("f", 32)), Locality: "north-east-2b",
@@ -70,12 +70,13 @@
 	return l
 }
 
-func sizedAnswer(body []byte) string {
+// sizedResponse makes a response with a Content-Length.
+func sizedResponse(body []byte) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// chunkedAnswer has a body in chunks of 4 KiB at the most.
-func chunkedAnswer(body []byte) string {
+// chunkedResponse makes a response with the body in chunks of 4 KiB at the most.
+func chunkedResponse(body []byte) string {
 	var b strings.Builder
 	b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for len(body) > 0 {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -10,10 +10,12 @@
 	"larchthread/internal/transport"
 )
 
-// next reads one message of a stream and tells it in a line, or gives "" while none is whole. With nil it ends.
-type next func(in *transport.Chain) (string, error)
+// readNext reads one message of a stream and describes it in a line, or returns "" while the message is incomplete. A
+// nil chain releases its buffers.
+type readNext func(in *transport.Chain) (string, error)
 
-func commands() next {
+// readCommands describes the commands of a client.
+func readCommands() readNext {
 	var r CommandReader
 	return func(in *transport.Chain) (string, error) {
 		if in == nil {
@@ -32,7 +34,8 @@
 	}
 }
 
-func told(a *Answer, err error) (string, error) {
+// describe formats an answer in a line.
+func describe(a *Answer, err error) (string, error) {
 	if a == nil {
 		return "", err
 	}
@@ -41,18 +44,20 @@
 		a.Close), err
 }
 
-func answers() next {
+// readHostAnswers describes the answers of a cache host.
+func readHostAnswers() readNext {
 	var r HostAnswerReader
 	return func(in *transport.Chain) (string, error) {
 		if in == nil {
 			return "", nil
 		}
-		return told(r.Next(in))
+		return describe(r.Next(in))
 	}
 }
 
-func fetched(write bool) func() next {
-	return func() next {
+// readOriginAnswers describes the origin's answers to reads or to writes.
+func readOriginAnswers(write bool) func() readNext {
+	return func() readNext {
 		r := NewOriginAnswerReader()
 		r.IsWrite = write
 		return func(in *transport.Chain) (string, error) {
@@ -60,23 +65,24 @@
 				r.Free()
 				return "", nil
 			}
-			return told(r.Next(in))
+			return describe(r.Next(in))
 		}
 	}
 }
 
-// read feeds a stream in pieces that end where cuts says, and returns what was read of it.
-func read(pool *transport.Pool, n next, stream []byte, cuts func(i int) bool) string {
+// readStream feeds a stream to next in pieces that end where cutAt returns true, and returns what was read, a line
+// each.
+func readStream(pool *transport.Pool, next readNext, stream []byte, cutAt func(i int) bool) string {
 	in, said := pool.NewChain(), []string{}
-	defer n(nil)
+	defer next(nil)
 	defer in.Free()
 	for i := range stream {
 		in.Write(stream[i : i+1])
-		if i+1 < len(stream) && !cuts(i+1) {
+		if i+1 < len(stream) && !cutAt(i+1) {
 			continue
 		}
 		for {
-			line, err := n(&in)
+			line, err := next(&in)
 			if line != "" {
 				said = append(said, line)
 			}
@@ -91,14 +97,15 @@
 	return strings.Join(append(said, fmt.Sprint(in.Len(), " bytes left")), "\n")
 }
 
-func whole(int) bool    { return false }
-func bytewise(int) bool { return true }
+func neverCut(int) bool  { return false }
+func alwaysCut(int) bool { return true }
 
-func show(n func() next, streams ...string) {
+// printReads prints what is read of each stream, and reports where reading it byte by byte differs.
+func printReads(newReader func() readNext, streams ...string) {
 	for _, s := range streams {
 		var pool transport.Pool
-		one := read(&pool, n(), []byte(s), whole)
-		if other := read(&pool, n(), []byte(s), bytewise); other != one {
+		one := readStream(&pool, newReader(), []byte(s), neverCut)
+		if other := readStream(&pool, newReader(), []byte(s), alwaysCut); other != one {
 			fmt.Println("byte by byte:", other)
 		}
 		fmt.Println(one)
@@ -106,7 +113,7 @@
 }
 
 func ExampleCommandReader() {
-	show(commands, "mn\r\nmg k1 v Oid1 Pc=read,d=480\r\nms k2 5 Oid2 Pc=put,d=90.5,k=77,size=5\r\nhe\r\no\r\nmg k3 v",
+	printReads(readCommands, "mn\r\nmg k1 v Oid1 Pc=read,d=480\r\nms k2 5 Oid2 Pc=put,d=90.5,k=77,size=5\r\nhe\r\no\r\nmg k3 v",
 		"ge\t\r\n\r\nmg\r\nmg k v O1 Pc=read\r\nmg k v O1 Pd=5\r\nmg k v Pc=read,d=5\r\nmg k v O1 Pc=read,d=soon\r\n",
 		"mg k\x01 v O1 Pc=read,d=5\r\nmn\r\n",
 		"ms k 5 O1 Pc=put,d=5\r\nhello, world\r\n", "ms k 5000000 O1 Pc=put,d=5\r\n", "ms k\r\n",
@@ -145,7 +152,8 @@
 }
 
 func ExampleHostAnswerReader() {
-	show(answers, "VA 4 Oid1 h1\r\na\r\nb\r\nEN Oid2\r\nHD Oid3 crec\r\nSERVER_ERROR busy 20\r\nSERVER_ERROR failed\r\n",
+	printReads(readHostAnswers,
+		"VA 4 Oid1 h1\r\na\r\nb\r\nEN Oid2\r\nHD Oid3 crec\r\nSERVER_ERROR busy 20\r\nSERVER_ERROR failed\r\n",
 		"VA x Oid1\r\n", "VA 2 Oid1\r\nabcd", "END\r\n", "\r\n")
 	// Output:
 	// kind 0 id "id1" receipt "" value "a\r\nb" close false
@@ -160,16 +168,17 @@
 	// error: an empty line
 }
 
-// What never ran is told from what may have: by the status and the header together.
+// An op that never ran is told from one that may have run by the status together with X-Not-Processed.
 func ExampleOriginAnswerReader() {
-	show(fetched(false), "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+	printReads(readOriginAnswers(false),
+		"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabcHTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 2\r\n\r\nno"+
 			"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\nHTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"+
 			"2;x=y\r\nab\r\n1\r\nc\r\n0\r\nTrailer: t\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5fffff\r\n",
 		"ICY 200 OK\r\n", "HTTP/1.1 200 OK\r\nno colon\r\n")
-	show(fetched(true), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nrec")
+	printReads(readOriginAnswers(true), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nrec")
 	// Output:
 	// kind 0 id "" receipt "" value "abc" close false
 	// kind 4 id "" receipt "" value "" close false
@@ -188,9 +197,10 @@
 	// 0 bytes left
 }
 
-// An answer is believed only when all of it fits. The value behind two lengths, or behind none, was once passed on.
+// Guards against values of the wrong length: contradictory, missing and malformed lengths are errors. A malformed load
+// report is ignored.
 func ExampleOriginAnswerReader_malformed() {
-	show(fetched(false), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nabc",
+	printReads(readOriginAnswers(false), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 200 OK\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc", "HTTP/1.1 +20 OK\r\n", "HTTP/1.x 200 OK\r\n",
@@ -208,7 +218,7 @@
 	// 0 bytes left
 }
 
-// A command goes on as it came but for the time that the balancer will wait, to hosts and to the origin alike.
+// A command is sent to hosts and to the origin unchanged except for d, the time that the balancer waits.
 func ExampleWriteCommand() {
 	var pool transport.Pool
 	in, out := pool.NewChain(), pool.NewChain()
@@ -241,7 +251,7 @@
 	// 0 bytes held
 }
 
-// An answer serves a command only under its id and in its kind.
+// An answer matches a command only with its id and of its kind.
 func ExampleAnswer_Matches() {
 	read, write := &Command{Verb: Get, ID: "1"}, &Command{Verb: Set, ID: "1"}
 	for _, a := range []*Answer{{Kind: Value, ID: "1"}, {Kind: Value, ID: "2"}, {Kind: Value, WithoutID: true},
@@ -280,19 +290,19 @@
 	// list: json: cannot unmarshal array into Go value of type protocol.listForm
 }
 
-// fuzz checks that any split of any bytes reads the same, and that all buffers come back.
-func fuzz(f *testing.F, n func() next, seeds ...string) {
+// fuzz checks that a stream reads the same however it is split, and that all buffers are returned.
+func fuzz(f *testing.F, newReader func() readNext, seeds ...string) {
 	for _, s := range seeds {
 		f.Add([]byte(s), uint64(0x9249249249249249))
 	}
 	f.Fuzz(func(t *testing.T, stream []byte, mask uint64) {
 		var pool transport.Pool
-		one := read(&pool, n(), stream, whole)
-		other := read(&pool, n(), stream, func(i int) bool { return mask>>(i%64)&1 == 1 })
+		one := readStream(&pool, newReader(), stream, neverCut)
+		other := readStream(&pool, newReader(), stream, func(i int) bool { return mask>>(i%64)&1 == 1 })
 		if pool.UsedBytes() != 0 {
 			t.Errorf("%d bytes held at the end", pool.UsedBytes())
 		}
-		// An error may be seen before the bytes behind it have come, and bytes left may wait inside a reader.
+		// The last line may differ: an error may be found before later bytes arrive, and a reader may hold bytes itself.
 		cut := func(s string) string { return s[:max(0, strings.LastIndex(s, "\n"))] }
 		if cut(one) != cut(other) {
 			t.Errorf("whole:\n%s\nin pieces:\n%s", one, other)
@@ -300,15 +310,16 @@
 	})
 }
 
-func FuzzCommands(f *testing.F) {
-	fuzz(f, commands, "mn\r\nmg k v O1 Pc=a,d=1\r\nms k 2 O2 Pc=b,d=2\r\nab\r\n", "ms k 3 O1 Pc=b,d=1\r\nabcde")
+func FuzzCommandReader(f *testing.F) {
+	fuzz(f, readCommands, "mn\r\nmg k v O1 Pc=a,d=1\r\nms k 2 O2 Pc=b,d=2\r\nab\r\n", "ms k 3 O1 Pc=b,d=1\r\nabcde")
 }
 
-// A command that asks for a value can be taken unread, if it is whole and of a known category.
+// A get is skipped only if it is complete and of a known category.
 func ExampleSkipGet() {
 	var pool transport.Pool
 	known := map[string]int{"page": 1, "feed": 2}
-	for _, line := range []string{"mg k v O1 Pc=page,d=5\r\n", "mg k v O1 Pd=5,c=feed\n", "mg Pc=page v Pc=feed,d=5 O1\r\n", "mg k v O1 Pc=other,d=5\r\n",
+	for _, line := range []string{"mg k v O1 Pc=page,d=5\r\n", "mg k v O1 Pd=5,c=feed\n",
+		"mg Pc=page v Pc=feed,d=5 O1\r\n", "mg k v O1 Pc=other,d=5\r\n",
 		"mg k v O1 Pd=5\r\n", "mg k v O1 Pc=page,d=5", "ms k 1 O1 Pc=page,d=5\r\nx\r\n", "mn\r\n", ""} {
 		in := pool.NewChain()
 		in.WriteString(line)
@@ -327,8 +338,8 @@
 	// 0 false 0
 }
 
-// What is taken unread is of the category that reading would have told, and ends where that command ends.
-func FuzzSkip(f *testing.F) {
+// A skipped command has the category and the length that parsing it yields.
+func FuzzSkipGet(f *testing.F) {
 	f.Add("mg k v O1 Pc=page,d=5\r\nmg k v O2 Pc=feed,d=5\r\n")
 	f.Add("mg Pc=page v O1 Pc=feed,d=5\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -350,16 +361,16 @@
 	})
 }
 
-func FuzzAnswers(f *testing.F) {
-	fuzz(f, answers, "VA 2 O1\r\nab\r\nEN O2\r\nHD O3 c4\r\nSERVER_ERROR busy\r\n", "VA 2 O1\r\nabc")
+func FuzzHostAnswerReader(f *testing.F) {
+	fuzz(f, readHostAnswers, "VA 2 O1\r\nab\r\nEN O2\r\nHD O3 c4\r\nSERVER_ERROR busy\r\n", "VA 2 O1\r\nabc")
 }
 
-func FuzzFetched(f *testing.F) {
-	fuzz(f, fetched(false), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 503 x\r\nX-Not-Processed: 1\r\n\r\n",
+func FuzzOriginAnswerReader(f *testing.F) {
+	fuzz(f, readOriginAnswers(false), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 503 x\r\nX-Not-Processed: 1\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
 }
 
-// A chain holds any number of bytes over its buffers, and gives every buffer back.
+// A value that spans several buffers is read unchanged, and all buffers are returned.
 func ExampleCommandReader_large() {
 	var pool transport.Pool
 	value := bytes.Repeat([]byte("0123456789abcdef"), MaxBufferedValueBytes/16)
@@ -376,8 +387,8 @@
 	// 0 bytes held
 }
 
-// readCall reads a call that comes in pieces.
-func readCall(pieces ...string) string {
+// readRequest reads a request that arrives in pieces.
+func readRequest(pieces ...string) string {
 	var pool transport.Pool
 	in, r := pool.NewChain(), AdminRequestReader{}
 	for _, p := range pieces {
@@ -392,12 +403,12 @@
 	return "not whole"
 }
 
-// An operator's call may come in pieces of any size. What is torn, too long or more than one call is refused with the
-// status that says so.
+// A request may arrive in pieces of any size. One that is malformed, too long or followed by another is refused with
+// its status.
 func ExampleAdminRequestReader() {
 	const enter = "POST /maintenance/enter HTTP/1.1\r\nContent-Length: 5\r\n\r\ns-1\r\n"
 	for cut := range len(enter) {
-		if got := readCall(enter[:cut], enter[cut:]); cut == 0 || got != readCall(enter) {
+		if got := readRequest(enter[:cut], enter[cut:]); cut == 0 || got != readRequest(enter) {
 			fmt.Println(got)
 		}
 	}
@@ -410,7 +421,7 @@
 		"GET /status\r\n\r\n", "\r\n", "GET /status HTTP/1.1\r\nno colon\r\n\r\n",
 		"GET /" + strings.Repeat("x", 5000), "GET /status HTTP/1.1\r\n" + strings.Repeat("a: b\r\n", 70),
 	} {
-		fmt.Println(readCall(text))
+		fmt.Println(readRequest(text))
 	}
 	// Output:
 	// POST /maintenance/enter "s-1\r\n"
@@ -428,13 +439,13 @@
 	// 400 a head of over 64 lines
 }
 
-// A call that can be read whole is read the same, or not at all yet, up to any cut.
-func FuzzCalls(f *testing.F) {
+// A request that can be parsed as a whole parses the same when split in two.
+func FuzzAdminRequestReader(f *testing.F) {
 	f.Add("POST /maintenance/enter HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1", 7)
 	f.Fuzz(func(t *testing.T, text string, cut int) {
-		whole, cut := readCall(text), max(0, min(cut, len(text)))
+		whole, cut := readRequest(text), max(0, min(cut, len(text)))
 		if whole[0] < '0' || whole[0] > '9' {
-			if parts := readCall(text[:cut], text[cut:]); parts != whole {
+			if parts := readRequest(text[:cut], text[cut:]); parts != whole {
 				t.Fatalf("%q cut at %d: %s, whole: %s", text, cut, parts, whole)
 			}
 		}
