--- a/internal/params/errors.go
+++ b/internal/params/errors.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// faults gathers all that is wrong with what is read, so that it can be mended in one go. Each names its key.
-type faults []error
+// errorList collects all errors of an input, so that they can be corrected together. Each error names its key.
+type errorList []error
 
-// is adds a fault where there is one.
-func (f *faults) is(there bool, format string, a ...any) {
-	if there {
+// addIf adds an error if the condition holds.
+func (f *errorList) addIf(condition bool, format string, a ...any) {
+	if condition {
 		*f = append(*f, fmt.Errorf(format, a...))
 	}
 }
 
-// err is all of them, a line each, or nil.
-func (f faults) err() error { return errors.Join(f...) }
+// join returns all errors as one, a line each, or nil where there are none.
+func (f errorList) join() error { return errors.Join(f...) }
 
-// each puts a word before every fault of err.
-func each(word string, err error) error {
+// prefixAll puts a prefix before err, or before each of the errors that it joins.
+func prefixAll(prefix string, err error) error {
 	several, ok := err.(interface{ Unwrap() []error })
 	if !ok {
-		return fmt.Errorf("%s: %w", word, err)
+		return fmt.Errorf("%s: %w", prefix, err)
 	}
-	var f faults
+	var f errorList
 	for _, e := range several.Unwrap() {
-		f = append(f, each(word, e))
+		f = append(f, prefixAll(prefix, e))
 	}
-	return f.err()
+	return f.join()
 }
--- a/internal/params/many_test.go
+++ b/internal/params/many_test.go
@@ -8,14 +8,15 @@
 	"larchthread/internal/protocol"
 )
 
-// A start file may name 1,024 categories, tenants and zones, a group of 1,024 balancers or more, and a list of 2,000 hosts. Each
-// category and tenant has a row of its own.
+// Guards large start files: 1,024 categories, tenants and zones, groups of 1,024 and 5,000 balancers and 2,000 known
+// hosts. Each category and tenant keeps a row of its own.
 func TestStartOfManyParts(t *testing.T) {
 	const n, listed = 1024, 2000
 	var categories, projects, members []map[string]any
 	var zones []string
 	for i := range n {
-		categories = append(categories, map[string]any{"name": fmt.Sprint("category", i), "targetLatencyUs": 1000 + i, "repeat": "retryable"})
+		categories = append(categories, map[string]any{"name": fmt.Sprint("category", i), "targetLatencyUs": 1000 + i,
+			"repeat": "retryable"})
 		projects = append(projects, map[string]any{"name": fmt.Sprint("tenant", i), "quotaPerS": 1 + i})
 		zones = append(zones, fmt.Sprint("zone", i))
 	}
@@ -37,7 +38,8 @@
 			t.Fatalf("%.400s", err)
 		}
 		s, byName, tenants := startFile.Params.ForBalancer(startFile.Seed)
-		if s.GroupSize != group || len(s.Categories) != n || len(byName) != n || len(s.Tenants) != n || len(tenants) != n || s.Zone != n-1 {
+		if s.GroupSize != group || len(s.Categories) != n || len(byName) != n ||
+			len(s.Tenants) != n || len(tenants) != n || s.Zone != n-1 {
 			t.Errorf("group %d, %d and %d categories, %d and %d tenants, zone %d", s.GroupSize, len(s.Categories), len(byName),
 				len(s.Tenants), len(tenants), s.Zone)
 		}
--- a/internal/params/operator_file.go
+++ b/internal/params/operator_file.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	lookUsual = 500.0   // ms between two looks at a watched file: an edit by hand is in force in a second
-	lookLeast = 10.0    // ms; more often is work for nothing
-	lookMost  = 60000.0 // ms
+	defaultPollMS = 500.0 // an edit takes effect within a second
+	minPollMS     = 10.0  // more often wastes work
+	maxPollMS     = 60000.0
 )
 
-// OperatorFile is what the operators of an installation say in a file of their own, beside what the platform tells.
+// OperatorFile holds the settings that the operators of an installation make in a file of their own, beside the start
+// file that the platform writes.
 type OperatorFile struct {
-	InventoryPath string        // path of the file that describes the fleet; empty where discovery does
-	PollInterval  time.Duration // between two looks at it
+	InventoryPath string        // file that describes the fleet; empty where discovery provides the hosts
+	PollInterval  time.Duration // time between two checks of that file for changes
 }
 
-// ReadOperatorFile reads an operators' own file. A path in it is taken from the file's directory. An error names every fault,
-// each with its key.
+// ReadOperatorFile reads the operators' own file. A relative path in it starts from the file's directory. The error
+// lists all that is wrong, each with its key.
 func ReadOperatorFile(path string) (o OperatorFile, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,32 +42,32 @@
 	}
 	d := yaml.NewDecoder(bytes.NewReader(text))
 	d.KnownFields(true)
-	at := "own file " + path
+	prefix := "own file " + path
 	if err := d.Decode(&form); err != nil && err != io.EOF {
 		e := (*yaml.TypeError)(nil)
 		if !errors.As(err, &e) {
-			return o, fmt.Errorf("%s: %s", at, strings.TrimPrefix(err.Error(), "yaml: "))
+			return o, fmt.Errorf("%s: %s", prefix, strings.TrimPrefix(err.Error(), "yaml: "))
 		}
-		var f faults
+		var f errorList
 		for _, text := range e.Errors {
-			text, _, _ = strings.Cut(text, " in type ") // the library names its caller's types
-			f.is(true, "%s", text)
+			text, _, _ = strings.Cut(text, " in type ") // leave out Go types that the library names
+			f.addIf(true, "%s", text)
 		}
-		return o, each(at, f.err())
+		return o, prefixAll(prefix, f.join())
 	}
-	look, i := lookUsual, form.Inventory
-	var f faults
-	f.is(i.Look != nil && i.File == "", "inventory.file: missing, but inventory.look_ms is set")
-	if i.Look != nil {
-		look = *i.Look
+	pollMS, section := defaultPollMS, form.Inventory
+	var f errorList
+	f.addIf(section.Look != nil && section.File == "", "inventory.file: missing, but inventory.look_ms is set")
+	if section.Look != nil {
+		pollMS = *section.Look
 	}
-	f.is(math.IsNaN(look) || look < lookLeast || look > lookMost,
-		"inventory.look_ms: %v, want %v to %v", look, lookLeast, lookMost)
-	if err := f.err(); err != nil {
-		return o, each(at, err)
+	f.addIf(math.IsNaN(pollMS) || pollMS < minPollMS || pollMS > maxPollMS,
+		"inventory.look_ms: %v, want %v to %v", pollMS, minPollMS, maxPollMS)
+	if err := f.join(); err != nil {
+		return o, prefixAll(prefix, err)
 	}
-	o.PollInterval = time.Duration(look * float64(time.Millisecond))
-	if o.InventoryPath = i.File; o.InventoryPath != "" && !filepath.IsAbs(o.InventoryPath) {
+	o.PollInterval = time.Duration(pollMS * float64(time.Millisecond))
+	if o.InventoryPath = section.File; o.InventoryPath != "" && !filepath.IsAbs(o.InventoryPath) {
 		o.InventoryPath = filepath.Join(filepath.Dir(path), o.InventoryPath)
 	}
 	return o, nil
--- a/internal/params/params.go
+++ b/internal/params/params.go
@@ -1,5 +1,5 @@
-// Package params reads what an instance is told at its start, for the simulator's adapter and the real
-// balancer alike. The wire's names of start parameters end here.
+// Package params reads the settings that an instance starts with, for the simulator's adapter and for the real
+// balancer. It translates the JSON names of settings into those of package balance.
 package params
 
 import (
@@ -12,7 +12,7 @@
 	"larchthread/balance"
 )
 
-// Params are the start-up parameters that are read; others are ignored.
+// Params holds the settings of an instance. Unknown settings are ignored.
 type Params struct {
 	Categories []category `json:"categories"`
 	Projects   []struct {
@@ -69,6 +69,7 @@
 	} `json:"specifics"`
 }
 
+// category holds the settings of a category of ops.
 type category struct {
 	Name         string  `json:"name"`
 	Target       float64 `json:"targetLatencyUs"`
@@ -81,13 +82,15 @@
 	KeepOrder    bool    `json:"keepOrder"`
 }
 
-var repeats = map[string]balance.RepeatPolicy{"retryable": balance.Redeliverable, "dedup": balance.Deduplicated,
+// repeatModes maps the values of the setting repeat.
+var repeatModes = map[string]balance.RepeatPolicy{"retryable": balance.Redeliverable, "dedup": balance.Deduplicated,
 	"fragile": balance.AtMostOnce}
 
-var groups = map[string]balance.DedupScope{"": balance.DedupAllHosts, "all": balance.DedupAllHosts,
+// dedupGroups maps the values of the setting group.
+var dedupGroups = map[string]balance.DedupScope{"": balance.DedupAllHosts, "all": balance.DedupAllHosts,
 	"zone": balance.DedupZone, "cell": balance.DedupCell}
 
-// Parse reads the parameters of an instance. An error names every fault, each with its key.
+// Parse parses and checks the settings of an instance. The error lists all that is wrong, each with its key.
 func Parse(raw json.RawMessage) (Params, error) {
 	var p Params
 	if len(raw) == 0 {
@@ -96,89 +99,95 @@
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return p, fmt.Errorf("params: %w", err)
 	}
-	var f faults
-	f.is(len(p.Categories) == 0, "params.categories: none")
-	f.is(p.GroupSize < 1, "params.groupSize: %d, want 1 or more", p.GroupSize)
-	f.is(p.Quantum < 0, "params.quantumUs: %v, want 0 or more", p.Quantum)
-	f.is(p.Limits.MostPushes < 1, "params.limits.mostPushes: %d, want 1 or more", p.Limits.MostPushes)
-	f.is(!slices.Contains([]string{"on_request", "pushed"}, p.Discovery),
+	var f errorList
+	f.addIf(len(p.Categories) == 0, "params.categories: none")
+	f.addIf(p.GroupSize < 1, "params.groupSize: %d, want 1 or more", p.GroupSize)
+	f.addIf(p.Quantum < 0, "params.quantumUs: %v, want 0 or more", p.Quantum)
+	f.addIf(p.Limits.MostPushes < 1, "params.limits.mostPushes: %d, want 1 or more", p.Limits.MostPushes)
+	f.addIf(!slices.Contains([]string{"on_request", "pushed"}, p.Discovery),
 		"params.discovery: %q, want on_request or pushed", p.Discovery)
 	for i, c := range p.Categories {
-		_, repeat := repeats[c.Repeat]
-		_, group := groups[c.Group]
+		_, repeat := repeatModes[c.Repeat]
+		_, group := dedupGroups[c.Group]
 		at := fmt.Sprintf("params.categories[%d]", i)
-		f.is(c.Name == "", "%s.name: missing", at)
-		f.is(strings.ContainsFunc(c.Name, func(r rune) bool { return r <= ' ' || r == ',' || r == 0x7f }),
-			"%s.name: %q, which a command can't name: a blank, a comma or a control character", at, c.Name)
-		f.is(slices.ContainsFunc(p.Categories[:i], func(x category) bool { return x.Name == c.Name }) && c.Name != "",
+		f.addIf(c.Name == "", "%s.name: missing", at)
+		f.addIf(strings.ContainsFunc(c.Name, func(r rune) bool { return r <= ' ' || r == ',' || r == 0x7f }),
+			"%s.name: %q contains a blank, a comma or a control character", at, c.Name)
+		f.addIf(slices.ContainsFunc(p.Categories[:i], func(x category) bool { return x.Name == c.Name }) && c.Name != "",
 			"%s.name: %q twice", at, c.Name)
-		f.is(c.TTL < 0, "%s.ttlUs: %v, want 0 or more", at, c.TTL)
-		f.is(c.Benefit < 0, "%s.benefit: %v, want 0 or more", at, c.Benefit)
-		f.is(c.TardyBenefit < 0 || c.TardyBenefit > 1, "%s.tardyBenefit: %v, want 0 to 1", at, c.TardyBenefit)
-		f.is(c.DedupWindow < 0, "%s.dedupWindowUs: %v, want 0 or more", at, c.DedupWindow)
-		f.is(c.Target <= 0, "%s.targetLatencyUs: %v, want above 0", at, c.Target)
-		f.is(!repeat, "%s.repeat: unknown %q", at, c.Repeat)
-		f.is(!group, "%s.group: unknown %q", at, c.Group)
+		f.addIf(c.TTL < 0, "%s.ttlUs: %v, want 0 or more", at, c.TTL)
+		f.addIf(c.Benefit < 0, "%s.benefit: %v, want 0 or more", at, c.Benefit)
+		f.addIf(c.TardyBenefit < 0 || c.TardyBenefit > 1, "%s.tardyBenefit: %v, want 0 to 1", at, c.TardyBenefit)
+		f.addIf(c.DedupWindow < 0, "%s.dedupWindowUs: %v, want 0 or more", at, c.DedupWindow)
+		f.addIf(c.Target <= 0, "%s.targetLatencyUs: %v, want above 0", at, c.Target)
+		f.addIf(!repeat, "%s.repeat: unknown %q", at, c.Repeat)
+		f.addIf(!group, "%s.group: unknown %q", at, c.Group)
 	}
-	f.is(p.ExcessBenefit < 0 || p.ExcessBenefit > 1, "params.excessBenefit: %v, want 0 to 1", p.ExcessBenefit)
+	f.addIf(p.ExcessBenefit < 0 || p.ExcessBenefit > 1, "params.excessBenefit: %v, want 0 to 1", p.ExcessBenefit)
 	g := p.Guarantees
-	f.is(g.ColdShare < 0 || g.ColdShare > 1, "params.guarantees.coldShare: %v, want 0 to 1", g.ColdShare)
-	f.is(g.ColdFor < 0, "params.guarantees.coldUs: %v, want 0 or more", g.ColdFor)
-	f.is(g.TipMultiple < 0, "params.guarantees.tipMultiple: %v, want 0 or more", g.TipMultiple)
-	f.is(g.FallFor < 0, "params.guarantees.fallUs: %v, want 0 or more", g.FallFor)
-	p.mixed(&f)
+	f.addIf(g.ColdShare < 0 || g.ColdShare > 1, "params.guarantees.coldShare: %v, want 0 to 1", g.ColdShare)
+	f.addIf(g.ColdFor < 0, "params.guarantees.coldUs: %v, want 0 or more", g.ColdFor)
+	f.addIf(g.TipMultiple < 0, "params.guarantees.tipMultiple: %v, want 0 or more", g.TipMultiple)
+	f.addIf(g.FallFor < 0, "params.guarantees.fallUs: %v, want 0 or more", g.FallFor)
+	p.checkCombinations(&f)
 	for i, t := range p.Projects {
-		f.is(t.Name == "" || t.Quota < 0, "params.projects[%d]: name %q, quotaPerS %v", i, t.Name, t.Quota)
+		f.addIf(t.Name == "" || t.Quota < 0, "params.projects[%d]: name %q, quotaPerS %v", i, t.Name, t.Quota)
 	}
-	return p, f.err()
+	return p, f.join()
 }
 
-// mixed names what does not go together: a deployment's shape follows from its parameters alone.
-func (p Params) mixed(f *faults) {
-	told := p.LoadReport.Method == "answers" || p.LoadReport.Method == "probe"
-	known := told || p.LoadReport.Method == "none" || p.LoadReport.Method == ""
-	f.is(p.Limits.MayDuplicate && p.Limits.MostPushes == 1,
-		"params.limits.mayDuplicate: second copies, but limits.mostPushes is %d", p.Limits.MostPushes)
-	f.is(!known, "params.report.how: unknown %q", p.LoadReport.Method)
-	f.is(told && len(p.LoadReport.Fields) == 0, "params.report.fields: none, but report.how is %q", p.LoadReport.Method)
-	f.is(known && !told && len(p.LoadReport.Fields) > 0, "params.report.how: %q, but report.fields names some", p.LoadReport.Method)
-	f.is(p.Specifics.FallMultiple < 0, "params.specifics.originFallMultiple: %v, want 0 or more", p.Specifics.FallMultiple)
-	f.is(p.Specifics.FallMultiple > 0 && p.Specifics.FallFor <= 0,
+// checkCombinations adds errors for optional settings that are out of range or contradict each other.
+func (p Params) checkCombinations(f *errorList) {
+	reported := p.LoadReport.Method == "answers" || p.LoadReport.Method == "probe"
+	known := reported || p.LoadReport.Method == "none" || p.LoadReport.Method == ""
+	f.addIf(p.Limits.MayDuplicate && p.Limits.MostPushes == 1,
+		"params.limits.mayDuplicate: set, but limits.mostPushes is %d", p.Limits.MostPushes)
+	f.addIf(!known, "params.report.how: unknown %q", p.LoadReport.Method)
+	f.addIf(reported && len(p.LoadReport.Fields) == 0, "params.report.fields: none, but report.how is %q", p.LoadReport.Method)
+	f.addIf(known && !reported && len(p.LoadReport.Fields) > 0,
+		"params.report.how: %q, but report.fields names some", p.LoadReport.Method)
+	f.addIf(p.Specifics.FallMultiple < 0, "params.specifics.originFallMultiple: %v, want 0 or more", p.Specifics.FallMultiple)
+	f.addIf(p.Specifics.FallMultiple > 0 && p.Specifics.FallFor <= 0,
 		"params.specifics.originFallUs: %v, but originFallMultiple is set", p.Specifics.FallFor)
-	f.is(p.Blend.NinesWanted != nil && *p.Blend.NinesWanted <= 0, "params.blend.ninesWanted: %v, want above 0", value(p.Blend.NinesWanted))
-	f.is(p.Blend.NinesWanted != nil && p.Blend.Availability == nil, "params.blend.ninesWanted: set without blend.availability")
-	f.is(p.Blend.NinesWanted == nil && value(p.Blend.Availability) > 0, "params.blend.availability: set without blend.ninesWanted")
-	f.is(value(p.Blend.KeptPromises) < 0, "params.blend.keptPromises: %v, want 0 or more", value(p.Blend.KeptPromises))
-	f.is(value(p.Blend.KeptPromises) > 0 && p.Blend.MissAllowed == nil, "params.blend.keptPromises: set without blend.missAllowed")
-	f.is(p.Blend.MissAllowed != nil && (*p.Blend.MissAllowed <= 0 || *p.Blend.MissAllowed > 1),
-		"params.blend.missAllowed: %v, want above 0, at most 1", value(p.Blend.MissAllowed))
-	f.is(p.Blend.MissAllowed != nil && p.Blend.KeptPromises == nil, "params.blend.missAllowed: set without blend.keptPromises")
-	f.is(p.Guarantees.KeyQuiet < 0, "params.guarantees.keyQuietUs: %v, want 0 or more", p.Guarantees.KeyQuiet)
-	f.is(p.Guarantees.LeftOff < 0, "params.guarantees.leftOffUs: %v, want 0 or more", p.Guarantees.LeftOff)
-	f.is(p.Guarantees.StampDoubt < 0, "params.guarantees.stampDoubtUs: %v, want 0 or more", p.Guarantees.StampDoubt)
-	f.is(p.Limits.ReplySlots != nil && *p.Limits.ReplySlots < 1, "params.limits.replySlots: %d, want 1 or more", value(p.Limits.ReplySlots))
-	f.is(p.Zone != "" && len(p.Zones) > 0 && !slices.Contains(p.Zones, p.Zone), "params.zone: %q is not among zones", p.Zone)
-	f.is(p.Costs.CrossZone < 0 || p.Costs.Origin < 0,
+	f.addIf(p.Blend.NinesWanted != nil && *p.Blend.NinesWanted <= 0,
+		"params.blend.ninesWanted: %v, want above 0", valueOrZero(p.Blend.NinesWanted))
+	f.addIf(p.Blend.NinesWanted != nil && p.Blend.Availability == nil, "params.blend.ninesWanted: set without blend.availability")
+	f.addIf(p.Blend.NinesWanted == nil && valueOrZero(p.Blend.Availability) > 0,
+		"params.blend.availability: set without blend.ninesWanted")
+	f.addIf(valueOrZero(p.Blend.KeptPromises) < 0,
+		"params.blend.keptPromises: %v, want 0 or more", valueOrZero(p.Blend.KeptPromises))
+	f.addIf(valueOrZero(p.Blend.KeptPromises) > 0 && p.Blend.MissAllowed == nil,
+		"params.blend.keptPromises: set without blend.missAllowed")
+	f.addIf(p.Blend.MissAllowed != nil && (*p.Blend.MissAllowed <= 0 || *p.Blend.MissAllowed > 1),
+		"params.blend.missAllowed: %v, want above 0, at most 1", valueOrZero(p.Blend.MissAllowed))
+	f.addIf(p.Blend.MissAllowed != nil && p.Blend.KeptPromises == nil, "params.blend.missAllowed: set without blend.keptPromises")
+	f.addIf(p.Guarantees.KeyQuiet < 0, "params.guarantees.keyQuietUs: %v, want 0 or more", p.Guarantees.KeyQuiet)
+	f.addIf(p.Guarantees.LeftOff < 0, "params.guarantees.leftOffUs: %v, want 0 or more", p.Guarantees.LeftOff)
+	f.addIf(p.Guarantees.StampDoubt < 0, "params.guarantees.stampDoubtUs: %v, want 0 or more", p.Guarantees.StampDoubt)
+	f.addIf(p.Limits.ReplySlots != nil && *p.Limits.ReplySlots < 1,
+		"params.limits.replySlots: %d, want 1 or more", valueOrZero(p.Limits.ReplySlots))
+	f.addIf(p.Zone != "" && len(p.Zones) > 0 && !slices.Contains(p.Zones, p.Zone), "params.zone: %q is not among zones", p.Zone)
+	f.addIf(p.Costs.CrossZone < 0 || p.Costs.Origin < 0,
 		"params.costs: crossZone %v, origin %v, want 0 or more", p.Costs.CrossZone, p.Costs.Origin)
 	for i, name := range p.LoadReport.Fields {
-		f.is(!slices.Contains(loads, name) || slices.Contains(p.LoadReport.Fields[:i], name),
+		f.addIf(!slices.Contains(loadFields, name) || slices.Contains(p.LoadReport.Fields[:i], name),
 			"params.report.fields[%d]: %q, unknown or named twice", i, name)
 	}
 }
 
-// value is a figure that may be missing, 0 where it is.
-func value[T int | float64](p *T) (figure T) {
+// valueOrZero returns what p points to, or 0 if p is nil.
+func valueOrZero[T int | float64](p *T) (v T) {
 	if p != nil {
-		figure = *p
+		v = *p
 	}
-	return figure
+	return v
 }
 
-// loads are the names that a report's values may have. Only busy is read.
-var loads = []string{"busy", "q", "rif", "lat_ms", "rate", "fail_rate", "x0", "x1"}
+// loadFields are the fields that a load report may have. Only busy is used.
+var loadFields = []string{"busy", "q", "rif", "lat_ms", "rate", "fail_rate", "x0", "x1"}
 
-// ApplyReportValue takes a value of a host's report under its name, in place of what r holds. What is not asked for, or makes no
-// sense, is passed over.
+// ApplyReportValue returns r updated with a value of a host's load report. Values that are not configured, not used or
+// out of range leave r as it is.
 func (p Params) ApplyReportValue(r *balance.LoadReport, name string, value float64) *balance.LoadReport {
 	if name != "busy" || !slices.Contains(p.LoadReport.Fields, name) || !(value >= 0) || math.IsInf(value, 1) {
 		return r
@@ -187,47 +196,60 @@
 }
 
 // IsOrigin tells whether hosts of a machine kind are origins.
-func (p Params) IsOrigin(shape string) bool {
+func (p Params) IsOrigin(kind string) bool {
 	k := p.Specifics.OriginKind
-	return k != nil && *k >= 0 && *k < len(p.Models) && p.Models[*k] == shape
+	return k != nil && *k >= 0 && *k < len(p.Models) && p.Models[*k] == kind
 }
 
-// ForBalancer gives the module its start, with tables from names to rows for the front.
+// ForBalancer converts the settings to the balancer's start parameters, with times in ms. It also returns the
+// categories and tenants by name.
 func (p Params) ForBalancer(seed uint64) (balance.Config, map[string]*balance.Category, map[string]*balance.Tenant) {
-	s := balance.Config{
-		Seed: seed, GroupSize: p.GroupSize, Quantum: p.Quantum / 1000,
-		CacheAside: p.Specifics.Mode == "aside", ListOnRequest: p.Discovery == "on_request",
-		BenefitPerWork: p.BenefitBy == "work", MaxPushes: p.Limits.MostPushes, AllowCancel: p.Limits.Cancelling,
-		AllowHedging:    p.Limits.MayDuplicate,
-		ConnIdleTimeout: p.Limits.ConnIdle / 1000,
-		ColdCapacity:    p.Guarantees.ColdShare, WarmupTime: p.Guarantees.ColdFor / 1000,
-		OverloadMultiple: p.Guarantees.TipMultiple, OverloadTime: p.Guarantees.FallFor / 1000,
-		ExcessBenefit: p.ExcessBenefit,
-		Zone:          slices.Index(p.Zones, p.Zone), ZoneCount: len(p.Zones),
-		CrossZoneCost: p.Costs.CrossZone, FetchCost: p.Costs.Origin,
-		KeyQuietTime: p.Guarantees.KeyQuiet / 1000, DeadlineSkew: p.Guarantees.LeftOff / 1000,
-		UpSinceSkew: p.Guarantees.StampDoubt / 1000, GoneIsAdvisory: p.Guarantees.GoneIsAdvice,
-		TimelyNackMeetsTarget: value(p.Blend.KeptPromises) > 0, ReplySlots: value(p.Limits.ReplySlots),
+	config := balance.Config{
+		Seed:                  seed,
+		GroupSize:             p.GroupSize,
+		Quantum:               p.Quantum / 1000,
+		CacheAside:            p.Specifics.Mode == "aside",
+		ListOnRequest:         p.Discovery == "on_request",
+		BenefitPerWork:        p.BenefitBy == "work",
+		MaxPushes:             p.Limits.MostPushes,
+		AllowCancel:           p.Limits.Cancelling,
+		AllowHedging:          p.Limits.MayDuplicate,
+		ConnIdleTimeout:       p.Limits.ConnIdle / 1000,
+		ColdCapacity:          p.Guarantees.ColdShare,
+		WarmupTime:            p.Guarantees.ColdFor / 1000,
+		OverloadMultiple:      p.Guarantees.TipMultiple,
+		OverloadTime:          p.Guarantees.FallFor / 1000,
+		ExcessBenefit:         p.ExcessBenefit,
+		Zone:                  slices.Index(p.Zones, p.Zone),
+		ZoneCount:             len(p.Zones),
+		CrossZoneCost:         p.Costs.CrossZone,
+		FetchCost:             p.Costs.Origin,
+		KeyQuietTime:          p.Guarantees.KeyQuiet / 1000,
+		DeadlineSkew:          p.Guarantees.LeftOff / 1000,
+		UpSinceSkew:           p.Guarantees.StampDoubt / 1000,
+		GoneIsAdvisory:        p.Guarantees.GoneIsAdvice,
+		TimelyNackMeetsTarget: valueOrZero(p.Blend.KeptPromises) > 0,
+		ReplySlots:            valueOrZero(p.Limits.ReplySlots),
 	}
-	if s.ConnIdleTimeout <= 0 { // not told: they stay open
-		s.ConnIdleTimeout = math.Inf(1)
+	if config.ConnIdleTimeout <= 0 { // not set: idle connections stay open
+		config.ConnIdleTimeout = math.Inf(1)
 	}
 	if p.Limits.RetryAfter {
-		s.MaxBackoff = p.Limits.MaxBackoff / 1000
+		config.MaxBackoff = p.Limits.MaxBackoff / 1000
 	}
 	categories := map[string]*balance.Category{}
 	for _, c := range p.Categories {
 		row := &balance.Category{Target: c.Target / 1000, Benefit: c.Benefit, LateBenefit: c.TardyBenefit,
-			Repeat: repeats[c.Repeat], DedupScope: groups[c.Group], DedupWindow: c.DedupWindow / 1000,
+			Repeat: repeatModes[c.Repeat], DedupScope: dedupGroups[c.Group], DedupWindow: c.DedupWindow / 1000,
 			Ordered: c.KeepOrder}
-		s.Categories = append(s.Categories, row)
+		config.Categories = append(config.Categories, row)
 		categories[c.Name] = row
 	}
 	tenants := map[string]*balance.Tenant{}
 	for _, t := range p.Projects {
 		row := &balance.Tenant{Quota: t.Quota}
-		s.Tenants = append(s.Tenants, row)
+		config.Tenants = append(config.Tenants, row)
 		tenants[t.Name] = row
 	}
-	return s, categories, tenants
+	return config, categories, tenants
 }
--- a/internal/params/params_test.go
+++ b/internal/params/params_test.go
@@ -8,14 +8,15 @@
 	"strings"
 )
 
-const usual = `{"categories":[{"name":"read","targetLatencyUs":1,"repeat":"retryable"}],"groupSize":1,"discovery":"pushed",` +
+// settings is a valid set of settings, which the tests modify.
+const settings = `{"categories":[{"name":"read","targetLatencyUs":1,"repeat":"retryable"}],"groupSize":1,"discovery":"pushed",` +
 	`"zones":["a","b"],"zone":"a","costs":{"crossZone":0.1},"report":{"how":"none","fields":[]},` +
 	`"limits":{"mostPushes":3},"specifics":{"originFallMultiple":0},"blend":{"whole":1},"newer":1}`
 
-// Settings that do not go together are refused, with the key at fault. What is not known is ignored.
+// Invalid and contradictory settings are refused with the key at fault; unknown ones are ignored.
 func ExampleParse() {
 	read := func(pairs ...string) {
-		p, err := Parse(json.RawMessage(strings.NewReplacer(pairs...).Replace(usual)))
+		p, err := Parse(json.RawMessage(strings.NewReplacer(pairs...).Replace(settings)))
 		begin, _, _ := p.ForBalancer(1)
 		fmt.Println(begin.AllowHedging, err)
 	}
@@ -41,19 +42,19 @@
 	read(`"whole"`, `"missAllowed":0.4,"whole"`)
 	read(`"whole"`, `"keptPromises":0.4,"missAllowed":0,"whole"`)
 	read(`"whole"`, `"keptPromises":0.4,"missAllowed":0.01,"whole"`)
-	read(`"repeat":"retryable"`, `"repeat":"often"`, `"groupSize":1`, `"groupSize":0`) // all faults in one go
+	read(`"repeat":"retryable"`, `"repeat":"often"`, `"groupSize":1`, `"groupSize":0`) // all errors are reported together
 	read(`"name":"read",`, `"name":"a,b","ttlUs":-1,"benefit":-2,"tardyBenefit":1.5,"dedupWindowUs":-3,`)
 	read(`"repeat":"retryable"}`, `"repeat":"retryable"},{"name":"read","targetLatencyUs":1,"repeat":"dedup"}`)
 	read(`"blend"`, `"excessBenefit":2,"guarantees":{"coldShare":1.1,"coldUs":-1,"tipMultiple":-2,"fallUs":-3},"blend"`)
 	read(`"mostPushes":3`, `"mostPushes":0`)
-	// Odd, but so it may be: a name that is a word of the protocol, a window longer than the TTL, or none, a target beyond the TTL.
+	// Unusual but valid: a name that is a protocol command, a window longer than the TTL or of 0, a target beyond the TTL.
 	read(`"name":"read"`, `"name":"mg","ttlUs":5,"targetLatencyUs":9,"repeat":"dedup","dedupWindowUs":90`)
 	read(`"repeat":"retryable"`, `"repeat":"dedup","dedupWindowUs":0`)
-	read(`"mostPushes":3`, `"mostPushes":3,"connIdleUs":-1,"connectTimeoutUs":0,"maxRetryAfterUs":-1`) // none
+	read(`"mostPushes":3`, `"mostPushes":3,"connIdleUs":-1,"connectTimeoutUs":0,"maxRetryAfterUs":-1`) // means none
 	// Output:
 	// false <nil>
 	// true <nil>
-	// true params.limits.mayDuplicate: second copies, but limits.mostPushes is 1
+	// true params.limits.mayDuplicate: set, but limits.mostPushes is 1
 	// false params.report.fields: none, but report.how is "answers"
 	// false params.report.how: "none", but report.fields names some
 	// false params.report.how: unknown "shouting"
@@ -77,7 +78,7 @@
 	// false <nil>
 	// false params.groupSize: 0, want 1 or more
 	// params.categories[0].repeat: unknown "often"
-	// false params.categories[0].name: "a,b", which a command can't name: a blank, a comma or a control character
+	// false params.categories[0].name: "a,b" contains a blank, a comma or a control character
 	// params.categories[0].ttlUs: -1, want 0 or more
 	// params.categories[0].benefit: -2, want 0 or more
 	// params.categories[0].tardyBenefit: 1.5, want 0 to 1
@@ -94,24 +95,25 @@
 	// false <nil>
 }
 
-// What the settings say of order, clocks, stamps, lists and buffers reaches the module in its units.
+// Settings of order, clocks, start times, lists and buffers reach the balancer in its units.
 func ExampleParams_ForBalancer() {
 	p, err := Parse(json.RawMessage(strings.NewReplacer(`"repeat":"retryable"`, `"repeat":"retryable","keepOrder":true`,
 		`"blend":{`, `"guarantees":{"keyQuietUs":50000,"leftOffUs":1000000,"stampDoubtUs":2000,"goneIsAdvice":true},`+
-			`"blend":{"keptPromises":0.4,"missAllowed":0.01,`, `"mostPushes":3`, `"mostPushes":3,"replySlots":26`).Replace(usual)))
+			`"blend":{"keptPromises":0.4,"missAllowed":0.01,`, `"mostPushes":3`, `"mostPushes":3,"replySlots":26`).Replace(settings)))
 	s, categories, _ := p.ForBalancer(1)
-	fmt.Println(err, categories["read"].Ordered, s.KeyQuietTime, s.DeadlineSkew, s.UpSinceSkew, s.GoneIsAdvisory, s.TimelyNackMeetsTarget, s.ReplySlots)
+	fmt.Println(err, categories["read"].Ordered, s.KeyQuietTime, s.DeadlineSkew, s.UpSinceSkew,
+		s.GoneIsAdvisory, s.TimelyNackMeetsTarget, s.ReplySlots)
 	// Output:
 	// <nil> true 50 1000 2 true true 26
 }
 
-// The operators' address may stand in the start file or in the environment, or nowhere. A bad one is named.
+// The operators' address is read from the start file, else from the environment. An invalid one is reported.
 func Example_admin() {
 	read := func(admin, environment string) {
 		os.Setenv("RELAY_ADMIN", environment)
 		defer os.Unsetenv("RELAY_ADMIN")
 		t, err := parseStartFile([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7",` + admin +
-			`"limits":{"memory_mb":1,"sockets":99},"settings":` + usual + `}`))
+			`"limits":{"memory_mb":1,"sockets":99},"settings":` + settings + `}`))
 		if err != nil {
 			fmt.Println(err)
 			return
@@ -131,7 +133,7 @@
 	// admin: "here", want an address with a port
 }
 
-// The operators' own file: paths are taken from its directory, and what is unknown or out of bounds is named.
+// Relative paths start from the file's directory; unknown keys and values out of range are reported.
 func ExampleReadOperatorFile() {
 	dir, err := os.MkdirTemp("", "own")
 	if err != nil {
@@ -140,7 +142,8 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "own.yaml")
-	for _, text := range []string{"", "inventory: {file: fleet.csv}\n", "inventory: {file: /fleet.csv, look_ms: 20}\n", "inventory: {look_ms: 20}\n",
+	for _, text := range []string{"", "inventory: {file: fleet.csv}\n", "inventory: {file: /fleet.csv, look_ms: 20}\n",
+		"inventory: {look_ms: 20}\n",
 		"inventory: {file: f.csv, look_ms: .nan}\n", "inventory: {file: f.csv, look_ms: 1}\n", "inventry: {}\n", "inventory: [\n"} {
 		os.WriteFile(path, []byte(text), 0o600)
 		o, err := ReadOperatorFile(path)
--- a/internal/params/start_file.go
+++ b/internal/params/start_file.go
@@ -11,20 +11,20 @@
 	"strconv"
 )
 
-// StartFile is what a real balancer finds in its file at its start.
+// StartFile holds the start file of a real balancer.
 type StartFile struct {
 	Name       string
 	Listen     netip.AddrPort
 	Discovery  netip.AddrPort
-	Admin      netip.AddrPort // where operators call; not valid where they don't
+	Admin      netip.AddrPort // address for operators' requests; not valid where none is set
 	Seed       uint64
 	MemoryMB   float64
 	Sockets    int
-	KnownHosts json.RawMessage // the host list as last had, in discovery's form
+	KnownHosts json.RawMessage // host list last received, in discovery's form
 	Params     Params
 }
 
-// ReadStartFile reads the file that a real balancer finds its start in. An error names every fault, each with its field.
+// ReadStartFile reads a start file. The error lists all that is wrong, each with its key.
 func ReadStartFile(path string) (*StartFile, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -32,11 +32,13 @@
 	}
 	t, err := parseStartFile(raw)
 	if err != nil {
-		return nil, each("start file "+path, err)
+		return nil, prefixAll("start file "+path, err)
 	}
 	return t, nil
 }
 
+// parseStartFile parses the text of a start file. The address for operators is taken from RELAY_ADMIN where the file
+// has none.
 func parseStartFile(raw []byte) (*StartFile, error) {
 	var form struct {
 		Name      string          `json:"name"`
@@ -52,16 +54,16 @@
 		} `json:"limits"`
 	}
 	if err := json.Unmarshal(raw, &form); err != nil {
-		if torn := (*json.SyntaxError)(nil); errors.As(err, &torn) {
-			return nil, fmt.Errorf("line %d: %w", 1+bytes.Count(raw[:max(torn.Offset-1, 0)], []byte("\n")), err)
+		if syntaxErr := (*json.SyntaxError)(nil); errors.As(err, &syntaxErr) {
+			return nil, fmt.Errorf("line %d: %w", 1+bytes.Count(raw[:max(syntaxErr.Offset-1, 0)], []byte("\n")), err)
 		}
 		return nil, err
 	}
 	t := &StartFile{Name: form.Name, MemoryMB: form.Limits.MemoryMB, KnownHosts: form.Known}
-	var f faults
+	var f errorList
 	address := func(key, text string) netip.AddrPort {
 		a, err := netip.ParseAddrPort(text)
-		f.is(err != nil, "%s: %q, want an address with a port", key, text)
+		f.addIf(err != nil, "%s: %q, want an address with a port", key, text)
 		return a
 	}
 	t.Listen = address("listen", form.Listen)
@@ -74,13 +76,13 @@
 	}
 	var err error
 	t.Seed, err = strconv.ParseUint(form.Seed, 16, 64)
-	f.is(err != nil, "seed: %q, want hex digits of 64 bits", form.Seed)
-	f.is(t.MemoryMB <= 0, "limits.memory_mb: %v, want above 0", t.MemoryMB)
+	f.addIf(err != nil, "seed: %q, want hex digits of 64 bits", form.Seed)
+	f.addIf(t.MemoryMB <= 0, "limits.memory_mb: %v, want above 0", t.MemoryMB)
 	sockets := form.Limits.Sockets
-	f.is(sockets < 1 || sockets > math.MaxInt32, "limits.sockets: %v, want 1 or more", sockets)
+	f.addIf(sockets < 1 || sockets > math.MaxInt32, "limits.sockets: %v, want 1 or more", sockets)
 	t.Sockets = int(sockets)
 	if t.Params, err = Parse(form.Settings); err != nil {
-		f = append(f, each("settings", err))
+		f = append(f, prefixAll("settings", err))
 	}
-	return t, f.err()
+	return t, f.join()
 }
