--- a/internal/simwire/many_test.go
+++ b/internal/simwire/many_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// One process may play 1,024 instances in a group as large, which share a list of 64 hosts; and an instance may have a list of
-// 2,000. Each op of each instance is sent to a host of the list.
+// Guards the use of large fleets: 1,024 instances with a shared list of 64 hosts, and two instances with 2,000 hosts.
+// Each instance has to send its op to a host of the list.
 func TestManyInstances(t *testing.T) {
 	for _, c := range []struct{ instances, hosts int }{{1024, 64}, {2, 2000}} {
-		sent := sends(t, c.instances, c.hosts)
+		sent := sentHosts(t, c.instances, c.hosts)
 		if len(sent) != c.instances {
 			t.Errorf("%+v: %d instances send", c, len(sent))
 		}
@@ -24,21 +24,23 @@
 	}
 }
 
-// sends starts so many instances with a list of so many hosts, has an op arrive at each, and returns to which host each
-// instance sends it.
-func sends(t *testing.T, instances, hosts int) map[int]int {
+// sentHosts starts instances with one shared list of hosts, lets an op arrive at each, and returns the host to which
+// each instance sends its op.
+func sentHosts(t *testing.T, instances, hosts int) map[int]int {
 	var elements []string
 	for h := range hosts {
-		elements = append(elements, fmt.Sprintf(`{"host":%d,"shape":"box","az":"z","condition":"SERVING","group":0,"upSinceUs":null}`, h+1))
+		elements = append(elements, fmt.Sprintf(
+			`{"host":%d,"shape":"box","az":"z","condition":"SERVING","group":0,"upSinceUs":null}`, h+1))
 	}
-	configure, _, _ := strings.Cut(up, `,{"DEFINE_LIST"`)
+	configure, _, _ := strings.Cut(startUp, `,{"DEFINE_LIST"`)
 	configure = strings.Replace(configure, `"groupSize":1,`, fmt.Sprintf(`"groupSize":%d,`, instances), 1)
 	events := []string{fmt.Sprintf(`{"DEFINE_LIST":{"slot":0,"elements":[%s]}}`, strings.Join(elements, ","))}
 	for i := range instances {
 		at := fmt.Sprintf(`"i":%d,`, i)
 		events = append(events, strings.Replace(configure, `"i":0,`, at, 1),
 			`{"ANNOUNCE":{`+at+`"slot":0,"serial":1,"scope":"Persisted"}}`,
-			fmt.Sprintf(`{"KNOCK":{%s"corr":"r%d","qos":"read","party":null,"targetKey":"k%d","dropDeadUs":400000,"update":false}}`, at, i, i))
+			fmt.Sprintf(
+				`{"KNOCK":{%s"corr":"r%d","qos":"read","party":null,"targetKey":"k%d","dropDeadUs":400000,"update":false}}`, at, i, i))
 	}
 	var out bytes.Buffer
 	if err := play(&out, strings.Join(events, ",")); err != nil {
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -15,7 +15,8 @@
 	"larchthread/internal/params"
 )
 
-// Serve answers batches from in on out until in ends. An error names the line and field at fault.
+// Serve answers each line of events from in with a line of actions on out, until in ends. An error in the input names
+// the line and field.
 func Serve(in io.Reader, out io.Writer) error {
 	s := server{balancers: map[int]*simulatedBalancer{}, lists: map[int][]element{}}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
@@ -52,10 +53,11 @@
 	actions   []action
 }
 
-// simulatedBalancer is one instance: its balancer, and the only place where its ids are known. It is the balancer's port.
+// simulatedBalancer is one instance. It translates between the wire's ids and the balancer's objects, and is the
+// balancer's port.
 type simulatedBalancer struct {
 	*server
-	i          int
+	index      int
 	balancer   *balance.Balancer
 	params     params.Params
 	categories map[string]*balance.Category
@@ -63,23 +65,24 @@
 	hosts      map[uint32]*balance.Host
 	ids        map[*balance.Host]uint32
 	ops        map[string]*balance.Op
-	pushes     map[*balance.Op][]*balance.Push // by round
-	looked     float64                         // ms, the time last given to the balancer
+	pushes     map[*balance.Op][]*balance.Push // by round number
+	lastTime   float64                         // ms, last time passed to the balancer
 }
 
+// answer handles a line of events and leaves the resulting actions in s.actions.
 func (s *server) answer(line []byte) error {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return err
 	}
-	if b.Now == nil {
+	if b.TimeUs == nil {
 		return errors.New("simTimeUs: missing")
 	}
-	s.now, s.actions = float64(*b.Now)/1000, []action{}
+	s.now, s.actions = float64(*b.TimeUs)/1000, []action{}
 	for k, e := range b.Input {
-		if err := s.take(e); err != nil {
-			if err == errUnknown {
-				err = fmt.Errorf("unknown event %s", nameOf(line, k))
+		if err := s.handle(e); err != nil {
+			if err == errUnknownEvent {
+				err = fmt.Errorf("unknown event %s", eventExcerpt(line, k))
 			}
 			return fmt.Errorf("input[%d]: %w", k, err)
 		}
@@ -87,10 +90,11 @@
 	return nil
 }
 
-var errUnknown = errors.New("unknown event")
+// errUnknownEvent is the error of an event without a known name.
+var errUnknownEvent = errors.New("unknown event")
 
-// nameOf finds what an event that has no place in event is called.
-func nameOf(line []byte, k int) string {
+// eventExcerpt returns the beginning of event k of a line, to be quoted in an error.
+func eventExcerpt(line []byte, k int) string {
 	var b struct {
 		Input []json.RawMessage `json:"input"`
 	}
@@ -100,48 +104,52 @@
 	return string(b.Input[k][:min(len(b.Input[k]), 80)])
 }
 
-// take turns one event into a call.
-func (s *server) take(e event) error {
+// handle passes one event to the balancer of its instance.
+func (s *server) handle(e event) error {
 	switch {
 	case e.Arrival != nil:
-		return s.at("KNOCK", e.Arrival.I, func(d *simulatedBalancer) error { return d.arrive(e.Arrival) })
+		return s.withInstance("KNOCK", e.Arrival.Index, func(d *simulatedBalancer) error { return d.arrive(e.Arrival) })
 	case e.AttemptEnd != nil:
-		return s.at("ATTEMPT_END", e.AttemptEnd.I, func(d *simulatedBalancer) error { return d.attemptEnd(e.AttemptEnd) })
+		return s.withInstance("ATTEMPT_END", e.AttemptEnd.Index, func(d *simulatedBalancer) error { return d.attemptEnd(e.AttemptEnd) })
 	case e.Headers != nil:
-		return s.at("HEADERS", e.Headers.I, func(d *simulatedBalancer) error {
+		return s.withInstance("HEADERS", e.Headers.Index, func(d *simulatedBalancer) error {
 			if p := d.push(e.Headers); p != nil {
 				d.balancer.StreamingStarted(p)
 			}
 			return nil
 		})
-	case e.ClientLeft != nil: // it may name an op that has ended a moment ago
-		return s.at("CLIENT_LEFT", e.ClientLeft.I, func(d *simulatedBalancer) error {
-			if op := d.ops[e.ClientLeft.Corr]; op != nil {
+	case e.ClientLeft != nil: // the op may have ended already
+		return s.withInstance("CLIENT_LEFT", e.ClientLeft.Index, func(d *simulatedBalancer) error {
+			if op := d.ops[e.ClientLeft.OpID]; op != nil {
 				d.balancer.ClientLeft(op)
-				d.forget(e.ClientLeft.Corr, op)
+				d.forget(e.ClientLeft.OpID, op)
 			}
 			return nil
 		})
 	case e.Alarm != nil:
-		return s.at("ALARM", e.Alarm.I, func(d *simulatedBalancer) error { d.balancer.TimerFired(); return nil })
+		return s.withInstance("ALARM", e.Alarm.Index, func(d *simulatedBalancer) error { d.balancer.TimerFired(); return nil })
 	case e.DefineList != nil:
-		return s.define(e.DefineList)
+		return s.defineList(e.DefineList)
 	case e.Announce != nil:
-		return s.at("ANNOUNCE", e.Announce.I, func(d *simulatedBalancer) error { return d.announce(e.Announce) })
+		return s.withInstance("ANNOUNCE", e.Announce.Index, func(d *simulatedBalancer) error { return d.announce(e.Announce) })
 	case e.Configure != nil:
 		return s.configure(e.Configure)
 	case e.Shutdown != nil:
-		return s.at("SHUTDOWN", e.Shutdown.I, func(d *simulatedBalancer) error { delete(s.balancers, d.i); return nil })
+		return s.withInstance("SHUTDOWN", e.Shutdown.Index, func(d *simulatedBalancer) error {
+			delete(s.balancers, d.index)
+			return nil
+		})
 	case e.Check != nil:
-		return s.at("CHECK_RESULT", e.Check.I, func(*simulatedBalancer) error { return nil })
+		return s.withInstance("CHECK_RESULT", e.Check.Index, func(*simulatedBalancer) error { return nil })
 	case e.Heard != nil:
-		return s.at("HEARD", e.Heard.I, func(*simulatedBalancer) error { return nil })
+		return s.withInstance("HEARD", e.Heard.Index, func(*simulatedBalancer) error { return nil })
 	}
-	return errUnknown
+	return errUnknownEvent
 }
 
-// at finds an event's instance, tells it the time, and makes the call.
-func (s *server) at(name string, i *int, call func(*simulatedBalancer) error) error {
+// withInstance calls call with the instance of index i, whose balancer is first told the time. Errors begin with the
+// event's name.
+func (s *server) withInstance(name string, i *int, call func(*simulatedBalancer) error) error {
 	if i == nil {
 		return fmt.Errorf("%s.i: missing", name)
 	}
@@ -149,8 +157,8 @@
 	if d == nil {
 		return fmt.Errorf("%s.i: unknown instance %d", name, *i)
 	}
-	if d.looked < s.now {
-		d.looked = s.now
+	if d.lastTime < s.now {
+		d.lastTime = s.now
 		d.balancer.Advance(s.now)
 	}
 	if err := call(d); err != nil {
@@ -159,24 +167,26 @@
 	return nil
 }
 
+// configure starts an instance, in place of one with the same index.
 func (s *server) configure(e *configure) error {
-	if e.I == nil {
+	if e.Index == nil {
 		return errors.New("CONFIGURE.i: missing")
 	}
 	p, err := params.Parse(e.Params)
 	if err != nil {
 		return fmt.Errorf("CONFIGURE.%w", err)
 	}
-	d := &simulatedBalancer{server: s, i: *e.I, params: p, hosts: map[uint32]*balance.Host{}, looked: s.now,
+	d := &simulatedBalancer{server: s, index: *e.Index, params: p, hosts: map[uint32]*balance.Host{}, lastTime: s.now,
 		ids: map[*balance.Host]uint32{}, ops: map[string]*balance.Op{}, pushes: map[*balance.Op][]*balance.Push{}}
-	begin, categories, tenants := p.ForBalancer(e.Seed)
+	start, categories, tenants := p.ForBalancer(e.Seed)
 	d.categories, d.tenants = categories, tenants
-	s.balancers[*e.I] = d
-	d.balancer = balance.New(begin, d, s.now)
+	s.balancers[*e.Index] = d
+	d.balancer = balance.New(start, d, s.now)
 	return nil
 }
 
-func (s *server) define(e *defineList) error {
+// defineList stores a host list, which ANNOUNCE events refer to by its slot.
+func (s *server) defineList(e *defineList) error {
 	if e.Slot == nil {
 		return errors.New("DEFINE_LIST.slot: missing")
 	}
@@ -193,16 +203,18 @@
 	return nil
 }
 
+// conditions maps the conditions of hosts to the balancer's.
 var conditions = map[string]balance.Status{"SERVING": balance.Ready, "DRAINING": balance.Draining,
 	"DELETED": balance.Gone}
 
+// announce passes a stored host list, or the failure to obtain one, to the balancer.
 func (d *simulatedBalancer) announce(e *announce) error {
-	whole := e.Scope == "Complete" || e.Scope == "Persisted"
+	complete := e.Scope == "Complete" || e.Scope == "Persisted"
 	switch {
 	case e.Scope == "Error":
 		d.balancer.HostListFailed()
 		return nil
-	case !whole && e.Scope != "Partial":
+	case !complete && e.Scope != "Partial":
 		return fmt.Errorf("scope: unknown %q", e.Scope)
 	}
 	list, known := d.lists[e.Slot]
@@ -213,55 +225,56 @@
 	for _, x := range list {
 		h := d.hosts[*x.Host]
 		if h == nil {
-			h = &balance.Host{Name: strconv.FormatUint(uint64(*x.Host), 10), IsOrigin: d.params.IsOrigin(x.Shape)}
+			h = &balance.Host{Name: strconv.FormatUint(uint64(*x.Host), 10), IsOrigin: d.params.IsOrigin(x.Kind)}
 			d.hosts[*x.Host], d.ids[h] = h, *x.Host
 		}
-		l := balance.Listing{Zone: slices.Index(d.params.Zones, x.Zone), Cell: x.Cell, Size: x.Nominal,
+		l := balance.Listing{Zone: slices.Index(d.params.Zones, x.Zone), Cell: x.Cell, Size: x.Size,
 			Status: conditions[x.Condition]}
-		if !(l.Size > 0) { // a list without sizes
+		if !(l.Size > 0) { // no size given
 			l.Size = 1
 		}
-		if x.UpSince != nil {
-			l.UpSince = float64(*x.UpSince) / 1000
+		if x.UpSinceUs != nil {
+			l.UpSince = float64(*x.UpSinceUs) / 1000
 		}
 		entries = append(entries, balance.HostEntry{Host: h, Listing: l})
 	}
-	d.balancer.HostsListed(entries, whole, e.Scope == "Persisted")
+	d.balancer.HostsListed(entries, complete, e.Scope == "Persisted")
 	return nil
 }
 
-// arrive takes an op that arrives.
+// arrive passes a new op to the balancer.
 func (d *simulatedBalancer) arrive(e *arrival) error {
-	category := d.categories[e.QoS]
+	category := d.categories[e.Category]
 	switch {
-	case e.Corr == "":
+	case e.OpID == "":
 		return errors.New("corr: missing")
-	case d.ops[e.Corr] != nil:
-		return fmt.Errorf("corr: %s is open already", e.Corr)
+	case d.ops[e.OpID] != nil:
+		return fmt.Errorf("corr: %s is open already", e.OpID)
 	case category == nil:
-		return fmt.Errorf("qos: unknown category %q", e.QoS)
-	case e.DropAt == nil:
+		return fmt.Errorf("qos: unknown category %q", e.Category)
+	case e.DeadlineUs == nil:
 		return errors.New("dropDeadUs: missing")
 	}
-	op := &balance.Op{Ref: e.Corr, Category: category, Deadline: float64(*e.DropAt) / 1000, IsWrite: e.Update}
+	op := &balance.Op{Ref: e.OpID, Category: category, Deadline: float64(*e.DeadlineUs) / 1000, IsWrite: e.Write}
 	if e.Key != nil {
 		op.Key = *e.Key
 	}
-	if e.Party != nil {
-		if op.Tenant = d.tenants[*e.Party]; op.Tenant == nil && len(d.tenants) > 0 {
-			return fmt.Errorf("party: unknown tenant %q", *e.Party)
+	if e.Tenant != nil {
+		if op.Tenant = d.tenants[*e.Tenant]; op.Tenant == nil && len(d.tenants) > 0 {
+			return fmt.Errorf("party: unknown tenant %q", *e.Tenant)
 		}
 	}
-	d.ops[e.Corr] = op
+	d.ops[e.OpID] = op
 	d.balancer.OpArrived(op)
 	return nil
 }
 
+// attemptEnd passes the outcome of a push to the balancer. An unknown round is ignored.
 func (d *simulatedBalancer) attemptEnd(e *attemptEnd) error {
-	op := d.ops[e.Corr]
+	op := d.ops[e.OpID]
 	switch {
 	case op == nil:
-		return fmt.Errorf("corr: unknown op %q", e.Corr)
+		return fmt.Errorf("corr: unknown op %q", e.OpID)
 	case e.Code == nil:
 		return errors.New("code: missing")
 	}
@@ -273,12 +286,13 @@
 	if !known {
 		outcome = balance.UnknownOutcome
 	}
-	d.balancer.PushEnded(p, outcome, float64(e.Spent)/1000, e.Last, d.report(e.Stats))
-	d.forget(e.Corr, op)
+	d.balancer.PushEnded(p, outcome, float64(e.SpentUs)/1000, e.Last, d.report(e.Stats))
+	d.forget(e.OpID, op)
 	return nil
 }
 
-// report reads a row of a host's load. One that is not as the start has it costs nothing but itself.
+// report parses the values of a host's load report. It returns nil for a malformed one, as the outcome that it came
+// with still counts.
 func (d *simulatedBalancer) report(row json.RawMessage) *balance.LoadReport {
 	var values []*float64
 	if len(row) == 0 || json.Unmarshal(row, &values) != nil || len(values) != len(d.params.LoadReport.Fields) {
@@ -293,52 +307,57 @@
 	return r
 }
 
-// push is the one of a round, or nil.
+// push returns the push of a round of an op, or nil.
 func (d *simulatedBalancer) push(e *headers) *balance.Push {
-	if all := d.pushes[d.ops[e.Corr]]; e.Round >= 0 && e.Round < len(all) {
+	if all := d.pushes[d.ops[e.OpID]]; e.Round >= 0 && e.Round < len(all) {
 		return all[e.Round]
 	}
 	return nil
 }
 
-// forget drops an op of which nothing more can be heard.
-func (d *simulatedBalancer) forget(corr string, op *balance.Op) {
+// forget removes an op, with its pushes, once no event can refer to it any more.
+func (d *simulatedBalancer) forget(opID string, op *balance.Op) {
 	if op.IsDone() {
-		delete(d.ops, corr)
+		delete(d.ops, opID)
 		delete(d.pushes, op)
 	}
 }
 
-func (d *simulatedBalancer) act(a action) { d.actions = append(d.actions, a) }
+// addAction appends an action to the answer of the current line.
+func (d *simulatedBalancer) addAction(a action) { d.actions = append(d.actions, a) }
 
 // Push implements balance.Port, as do the methods below.
 func (d *simulatedBalancer) Push(p *balance.Push, limit float64) {
 	p.Ref = len(d.pushes[p.Op])
 	d.pushes[p.Op] = append(d.pushes[p.Op], p)
-	d.act(action{Send: &send{d.i, p.Op.Ref.(string), d.ids[p.Host], max(1, us(limit))}})
+	d.addAction(action{Send: &send{d.index, p.Op.Ref.(string), d.ids[p.Host], max(1, toMicros(limit))}})
 }
 
 func (d *simulatedBalancer) Cancel(p *balance.Push) {
-	d.act(action{Undo: &undo{d.i, p.Op.Ref.(string), p.Ref.(int)}})
+	d.addAction(action{Undo: &undoSend{d.index, p.Op.Ref.(string), p.Ref.(int)}})
 }
 
 func (d *simulatedBalancer) Nack(op *balance.Op, backoff float64) {
-	d.act(action{Reject: &reject{d.i, op.Ref.(string), us(backoff)}})
+	d.addAction(action{Reject: &reject{d.index, op.Ref.(string), toMicros(backoff)}})
 	d.forget(op.Ref.(string), op)
 }
 
 func (d *simulatedBalancer) DeadLetter(op *balance.Op) {
-	d.act(action{Error: &ended{d.i, op.Ref.(string)}})
+	d.addAction(action{Error: &opError{d.index, op.Ref.(string)}})
 	d.forget(op.Ref.(string), op)
 }
 
-func (d *simulatedBalancer) SetTimer(ms float64) { d.act(action{After: &after{I: d.i, From: us(ms)}}) }
+func (d *simulatedBalancer) SetTimer(ms float64) {
+	d.addAction(action{After: &wakeUp{Index: d.index, DelayUs: toMicros(ms)}})
+}
 
-func (d *simulatedBalancer) SubscribeHostList() { d.act(action{Watch: &watch{d.i, true}}) }
+func (d *simulatedBalancer) SubscribeHostList() {
+	d.addAction(action{Watch: &subscribe{d.index, true}})
+}
 
 func (d *simulatedBalancer) CloseIdleConns(h *balance.Host) {
-	d.act(action{HangUp: &hangUp{d.i, d.ids[h]}})
+	d.addAction(action{HangUp: &hangUp{d.index, d.ids[h]}})
 }
 
-// us turns milliseconds into the wire's whole microseconds.
-func us(ms float64) int64 { return int64(math.Round(ms * 1000)) }
+// toMicros converts milliseconds to whole microseconds.
+func toMicros(ms float64) int64 { return int64(math.Round(ms * 1000)) }
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-const up = `{"CONFIGURE":{"i":0,"prng":7,"params":{"categories":[{"name":"read","benefit":1,"targetLatencyUs":100000,` +
+// startUp configures instance 0 with a cache host and an origin.
+const startUp = `{"CONFIGURE":{"i":0,"prng":7,"params":{"categories":[{"name":"read","benefit":1,"targetLatencyUs":100000,` +
 	`"ttlUs":400000,"repeat":"retryable","group":"all","tardyBenefit":0}],"groupSize":1,"quantumUs":1000,` +
 	`"discovery":"pushed","benefitBy":"request","models":["box","origin"],"zones":["z"],"newer":1,` +
 	`"specifics":{"mode":"aside","originKind":1},"limits":{"mostPushes":3,"cancelling":true}}}},` +
@@ -15,13 +16,14 @@
 	`"group":0,"upSinceUs":null},{"host":12,"shape":"origin","az":"z","nominal":1,"condition":"SERVING","group":0,` +
 	`"upSinceUs":null}]}},{"ANNOUNCE":{"i":0,"slot":0,"serial":1,"scope":"Persisted"}}`
 
-func serve(events ...string) {
+// printServed prints the answers to lines of events.
+func printServed(events ...string) {
 	if err := play(os.Stdout, events...); err != nil {
 		fmt.Println(err)
 	}
 }
 
-// play serves events, one a millisecond.
+// play serves lines of events that are 1 ms apart.
 func play(out io.Writer, events ...string) error {
 	var in strings.Builder
 	for i, e := range events {
@@ -30,10 +32,10 @@
 	return Serve(strings.NewReader(in.String()), out)
 }
 
-// An op misses at its host, is fetched from the origin and is answered; the client that leaves later, and
-// outcomes under a code of no known meaning, do no harm.
+// An op that misses at its host is fetched from the origin and answered. A client that leaves after that, and an
+// outcome with an unknown code, are tolerated.
 func ExampleServe() {
-	serve(up,
+	printServed(startUp,
 		`{"KNOCK":{"i":0,"corr":"r1","qos":"read","party":null,"targetKey":"k","dropDeadUs":400000,"update":false}}`,
 		`{"ATTEMPT_END":{"i":0,"corr":"r1","roundNo":0,"host":11,"code":9,"spentUs":1000,"last":false}}`,
 		`{"ATTEMPT_END":{"i":0,"corr":"r1","roundNo":1,"host":12,"code":1,"spentUs":1000,"last":true}},`+
@@ -51,7 +53,7 @@
 	// {"actions":[]}
 }
 
-// What is malformed is named, by line and field; nothing panics.
+// Malformed input is reported with its line and field, without a panic.
 func ExampleServe_malformed() {
 	for _, bad := range []string{
 		`{"KNOCK":{"i":0,"corr":"r1","qos":"write","dropDeadUs":400000}}`,
@@ -70,7 +72,7 @@
 		`{"CONFIGURE":{"i":1,"prng":7,"params":{"categories":[{"name":"a"}],"groupSize":0}}}`,
 	} {
 		s := server{balancers: map[int]*simulatedBalancer{}, lists: map[int][]element{}}
-		if err := s.answer([]byte(`{"simTimeUs":0,"input":[` + up + `]}`)); err != nil {
+		if err := s.answer([]byte(`{"simTimeUs":0,"input":[` + startUp + `]}`)); err != nil {
 			fmt.Println("start:", err)
 		}
 		fmt.Println(s.answer([]byte(`{"simTimeUs":0,"input":[` + bad + `]}`)))
@@ -103,8 +105,8 @@
 	// line 1: invalid character 'o' in literal null (expecting 'u')
 }
 
-// Outcomes may come for either of two pushes, twice, or late, and load reports in any state: the op is served by the first
-// good answer, and nothing else comes of the rest.
+// Outcomes may arrive for either of two pushes, twice or late, and with malformed load reports. The first good answer
+// serves the op, and the others have no effect.
 func ExampleServe_twoRounds() {
 	two := strings.NewReplacer(`"cancelling":true`, `"cancelling":true,"mayDuplicate":true`, `"groupSize"`,
 		`"report":{"how":"answers","fields":["busy","rate"]},"groupSize"`, `"host":12,"shape":"origin"`, `"host":12,"shape":"box"`)
@@ -116,7 +118,7 @@
 			`"serverStats":%s}}`, corr, round, code, last, stats)
 	}
 	end := func(round, code int, last bool, stats string) string { return answer("r1", round, code, last, stats) }
-	in := []string{two.Replace(up), arrival("r1")}
+	in := []string{two.Replace(startUp), arrival("r1")}
 	for range 60 {
 		in = append(in, `{"ALARM":{"i":0,"ctx":0}}`)
 	}
@@ -124,7 +126,7 @@
 	for _, stats := range garbage {
 		in = append(in, end(7, 1, false, stats), end(-1, 1, false, stats))
 	}
-	for k, stats := range garbage { // and with the answer to a push that is out
+	for k, stats := range garbage { // malformed reports in answers to open pushes
 		corr := fmt.Sprint("g", k)
 		in = append(in, arrival(corr), answer(corr, 0, 1, true, stats))
 	}
