--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators' calls: whether the balancer serves, its figures, and cache hosts taken out of use by
-// hand. It runs on the loop and decides nothing.
+// Package admin serves the operators' HTTP interface: whether the balancer serves, its metrics, and cache hosts taken
+// out of use for maintenance. It runs on the event loop.
 package admin
 
 import (
@@ -15,61 +15,62 @@
 )
 
 const (
-	reserve  = 12     // connections at once: a few callers that say nothing, and some that do
-	callMost = 5000.0 // ms for a call to come: a slow line, and the end of those that say nothing
+	reservedConns  = 12     // connections at once, which are kept free for operators
+	requestTimeout = 5000.0 // ms for a request to arrive
 )
 
-// server answers calls for one balancer.
+// server answers the requests to one balancer.
 type server struct {
 	loop   *transport.Loop
 	log    *slog.Logger
 	router *routing.Router
 }
 
-// Serve opens the operators' address.
+// Serve listens for operators at an address and answers them on the loop. It fails where it can't listen.
 func Serve(loop *transport.Loop, log *slog.Logger, at netip.AddrPort, router *routing.Router) error {
 	s := &server{loop, log, router}
-	_, err := loop.Listen("operator", at, reserve, s.accept)
+	_, err := loop.Listen("operator", at, reservedConns, s.accept)
 	return err
 }
 
-// caller is a connection of an operator.
-type caller struct {
-	server *server
-	conn   *transport.Conn
-	calls  protocol.AdminRequestReader
-	limit  transport.Timer
-	ended  bool // answered, or gone
+// operatorConn is a connection of an operator, for a single request.
+type operatorConn struct {
+	server   *server
+	conn     *transport.Conn
+	requests protocol.AdminRequestReader
+	timeout  transport.Timer
+	done     bool // answered, or the connection has ended
 }
 
+// accept limits the time in which the request has to arrive.
 func (s *server) accept(conn *transport.Conn) {
-	c := &caller{server: s, conn: conn}
+	c := &operatorConn{server: s, conn: conn}
 	conn.Handler = c
-	c.limit.Fire = func() { c.answer(http.StatusRequestTimeout, "the call did not come") }
-	s.loop.SetTimer(&c.limit, callMost)
+	c.timeout.Fire = func() { c.answer(http.StatusRequestTimeout, "the call did not come") }
+	s.loop.SetTimer(&c.timeout, requestTimeout)
 }
 
-// Received implements transport.Owner.
-func (c *caller) Received(conn *transport.Conn) {
-	call, fault := c.calls.Next(&conn.In)
+// Received implements transport.ConnHandler.
+func (c *operatorConn) Received(conn *transport.Conn) {
+	request, err := c.requests.Next(&conn.In)
 	switch {
-	case fault != nil:
-		c.answer(fault.Status, fault.Text)
-	case call != nil:
-		conn.SetPaused(true) // what comes behind the call is nobody's
-		c.server.serve(call, c.answer)
+	case err != nil:
+		c.answer(err.Status, err.Text)
+	case request != nil:
+		conn.SetPaused(true) // a connection carries one request
+		c.server.serve(request, c.answer)
 	}
 }
 
-// Ended implements transport.Owner. A caller may close its side once it has asked.
-func (c *caller) Ended(_ *transport.Conn, why transport.Reason) {
-	c.ended = true
-	c.server.loop.StopTimer(&c.limit)
+// Ended implements transport.ConnHandler. A caller may close its sending side once it has sent its request.
+func (c *operatorConn) Ended(_ *transport.Conn, why transport.Reason) {
+	c.done = true
+	c.server.loop.StopTimer(&c.timeout)
 }
 
-// answer answers the call and ends the connection.
-func (c *caller) answer(status int, text string) {
-	if c.ended {
+// answer answers the request and closes the connection. It does nothing once the connection is done.
+func (c *operatorConn) answer(status int, text string) {
+	if c.done {
 		return
 	}
 	c.Ended(c.conn, "")
@@ -77,22 +78,22 @@
 	c.conn.HalfClose(transport.CloseRequested)
 }
 
-// methods are the calls there are.
-var methods = map[string]string{"/status": http.MethodGet, "/status/metrics": http.MethodGet,
+// routes maps each path to its method.
+var routes = map[string]string{"/status": http.MethodGet, "/status/metrics": http.MethodGet,
 	"/maintenance/enter": http.MethodPost, "/maintenance/exit": http.MethodPost}
 
-// serve answers a call.
-func (s *server) serve(call *protocol.AdminRequest, answer func(status int, text string)) {
-	switch method := methods[call.Path]; method {
+// serve answers a request.
+func (s *server) serve(request *protocol.AdminRequest, answer func(status int, text string)) {
+	switch method := routes[request.Path]; method {
 	case "":
 		answer(http.StatusNotFound, "no such call")
 		return
-	case call.Method:
+	case request.Method:
 	default:
 		answer(http.StatusMethodNotAllowed, "want "+method)
 		return
 	}
-	switch call.Path {
+	switch request.Path {
 	case "/status":
 		if err := s.router.CheckReady(); err != nil {
 			answer(http.StatusServiceUnavailable, err.Error())
@@ -102,12 +103,12 @@
 	case "/status/metrics":
 		answer(http.StatusOK, s.metrics())
 	default:
-		s.maintain(strings.TrimSpace(call.Body), call.Path == "/maintenance/enter", answer)
+		s.setMaintenance(strings.TrimSpace(request.Body), request.Path == "/maintenance/enter", answer)
 	}
 }
 
-// maintain takes a cache host out of use, or puts it back.
-func (s *server) maintain(id string, out bool, answer func(status int, text string)) {
+// setMaintenance takes a cache host out of use, or puts it back.
+func (s *server) setMaintenance(id string, out bool, answer func(status int, text string)) {
 	if id == "" {
 		answer(http.StatusBadRequest, "the body is to hold the id of a cache host")
 		return
@@ -127,7 +128,7 @@
 	})
 }
 
-// metrics writes the figures, a line each.
+// metrics formats the metrics, a line each.
 func (s *server) metrics() string {
 	var b strings.Builder
 	f := s.router.Stats()
