--- a/internal/takeover/bans.go
+++ b/internal/takeover/bans.go
@@ -2,55 +2,57 @@
 
 import "larchthread/internal/transport"
 
-const tellMost = 700.0 // ms for the other process to heed a ban: the caller waits 1 s
+const banReplyTimeout = 700.0 // ms for the other process to answer: less than the 1 s that the operator's call waits
 
-// bans are the messages on bans that the other process has not answered yet.
-type bans struct {
-	number int
-	open   map[int]*ban
+// banRequests are the bans sent to the other process that it has not answered yet, by number.
+type banRequests struct {
+	lastNumber int
+	pending    map[int]*banRequest
 }
 
-type ban struct {
-	limit transport.Timer
-	done  func(known bool)
+// banRequest is a ban, or the end of one, that waits for its answer.
+type banRequest struct {
+	timeout transport.Timer
+	done    func(known bool)
 }
 
-// tell has the other process ban a host. One that does not answer in time is not waited for: its time is nearly over, or
-// it stands still and sends nothing.
-func (b *bans) tell(loop *transport.Loop, c *transport.ControlChannel, id string, out bool, done func(known bool)) {
-	if b.open == nil {
-		b.open = map[int]*ban{}
+// send asks the other process to ban a host, or to put it back where out is false. done is told whether that process
+// knows the host; false where it does not answer in time, as it is then about to end or hangs and sends nothing.
+func (b *banRequests) send(loop *transport.Loop, channel *transport.ControlChannel, id string, out bool, done func(known bool)) {
+	if b.pending == nil {
+		b.pending = map[int]*banRequest{}
 	}
-	b.number++
-	n, x := b.number, &ban{done: done}
-	x.limit.Fire = func() { b.answered(loop, n, false) }
-	loop.SetTimer(&x.limit, tellMost)
-	b.open[n] = x
-	send(c, message{Kind: kindBan, ID: id, Out: out, Number: n}, -1)
+	b.lastNumber++
+	n, request := b.lastNumber, &banRequest{done: done}
+	request.timeout.Fire = func() { b.resolve(loop, n, false) }
+	loop.SetTimer(&request.timeout, banReplyTimeout)
+	b.pending[n] = request
+	send(channel, message{Kind: kindBan, ID: id, Out: out, Number: n}, -1)
 }
 
-func (b *bans) answered(loop *transport.Loop, n int, known bool) {
-	if x := b.open[n]; x != nil {
-		delete(b.open, n)
-		loop.StopTimer(&x.limit)
-		x.done(known)
+// resolve reports the answer to request n, once.
+func (b *banRequests) resolve(loop *transport.Loop, n int, known bool) {
+	if request := b.pending[n]; request != nil {
+		delete(b.pending, n)
+		loop.StopTimer(&request.timeout)
+		request.done(known)
 	}
 }
 
-// lost takes word that nobody will answer.
-func (b *bans) lost(loop *transport.Loop) {
-	for n := range b.number + 1 {
-		b.answered(loop, n, false)
+// failAll reports to all open requests that the other process is gone.
+func (b *banRequests) failAll(loop *transport.Loop) {
+	for n := range b.lastNumber + 1 {
+		b.resolve(loop, n, false)
 	}
 }
 
-// heed takes a message on a ban, from either side.
-func (b *bans) heed(t *Takeover, c *transport.ControlChannel, m message) {
+// handle handles a message on a ban, be it a request or an answer. Others are ignored.
+func (b *banRequests) handle(t *Takeover, channel *transport.ControlChannel, m message) {
 	switch m.Kind {
 	case kindBan:
 		err := t.router.ApplyBan(m.ID, m.Out)
-		send(c, message{Kind: kindBanned, Number: m.Number, Known: err == nil}, -1)
+		send(channel, message{Kind: kindBanned, Number: m.Number, Known: err == nil}, -1)
 	case kindBanned:
-		b.answered(t.loop, m.Number, m.Known)
+		b.resolve(t.loop, m.Number, m.Known)
 	}
 }
--- a/internal/takeover/message.go
+++ b/internal/takeover/message.go
@@ -8,21 +8,21 @@
 	"larchthread/internal/transport"
 )
 
-const version = 1 // of the messages; another is refused
+const protocolVersion = 1 // processes of another version are refused
 
-// messageKind tells which of a message's fields count.
+// messageKind is the type of a message and determines which of its fields are used.
 type messageKind string
 
-// What the new process sends.
+// Kinds of messages from the new process.
 const (
-	kindHello messageKind = "hello" // it asks for the place; Version
+	kindHello messageKind = "hello" // asks to take over; Version
 	kindReady messageKind = "ready" // it serves
 )
 
-// What the running process sends.
+// Kinds of messages from the running process.
 const (
-	kindRefused  messageKind = "refused" // it does not hand over at all; Why
-	kindLater    messageKind = "later"   // it is handing over to another; Why
+	kindRefused  messageKind = "refused" // no hand-over; Why
+	kindLater    messageKind = "later"   // another process is taking over at the moment; Why
 	kindList     messageKind = "list"    // List
 	kindPast     messageKind = "past"    // Past, Banned
 	kindLearned  messageKind = "learned" // Learned
@@ -30,47 +30,47 @@
 	kindClient   messageKind = "client"  // Unread, Proven, and the connection's descriptor
 )
 
-// What either sends.
+// Kinds of messages from either process.
 const (
 	kindBan    messageKind = "ban"    // ID, Out, Number
 	kindBanned messageKind = "banned" // the answer to a ban: Number, Known
 )
 
-// message is what one process tells the other. What a build does not know in it is passed over. The names in JSON are those of
-// earlier builds, which a new one takes over from.
+// message is a message between the two processes. Unknown fields are ignored. The JSON names must not change, since a
+// process may take over from one of an earlier build.
 type message struct {
 	Kind    messageKind        `json:"word"`
 	Version int                `json:"version,omitempty"`
-	Why     string             `json:"why,omitempty"`     // of a refusal
-	List    *protocol.HostList `json:"list,omitempty"`    // part of the list, in discovery's form
-	Past    []string           `json:"past,omitempty"`    // ids of hosts there were
-	Banned  []string           `json:"banned,omitempty"`  // ids of hosts that are banned
+	Why     string             `json:"why,omitempty"`     // reason of a refusal
+	List    *protocol.HostList `json:"list,omitempty"`    // part of the host list, in discovery's form
+	Past    []string           `json:"past,omitempty"`    // ids of hosts of this and earlier lists
+	Banned  []string           `json:"banned,omitempty"`  // ids of banned hosts
 	Learned *balance.Learned   `json:"learned,omitempty"` // part of what the balancer has learned
-	Sockets int                `json:"sockets,omitempty"` // that the new process may open
-	Unread  []byte             `json:"unread,omitempty"`  // of a passed connection
-	Proven  bool               `json:"proven,omitempty"`  // an op has come on it
-	ID      string             `json:"id,omitempty"`      // of a host to be banned
-	Out     bool               `json:"out,omitempty"`     // it is to be banned, not put back
-	Number  int                `json:"number,omitempty"`  // of a message on a ban, and of the answer to it
-	Known   bool               `json:"known,omitempty"`   // the host is known there
+	Sockets int                `json:"sockets,omitempty"` // number of sockets that the new process may open
+	Unread  []byte             `json:"unread,omitempty"`  // bytes received on the connection that are not processed yet
+	Proven  bool               `json:"proven,omitempty"`  // an op has arrived on the connection
+	ID      string             `json:"id,omitempty"`      // host of the ban
+	Out     bool               `json:"out,omitempty"`     // true to ban the host, false to put it back
+	Number  int                `json:"number,omitempty"`  // number of a ban, repeated in the answer
+	Known   bool               `json:"known,omitempty"`   // the answering process knows the host
 }
 
-// read reads a message. One that can't be read says nothing.
-func (t *Takeover) read(in transport.Message) (m message) {
+// decode parses a message. A malformed one is logged and yields an empty message.
+func (t *Takeover) decode(in transport.Message) (m message) {
 	if err := json.Unmarshal(in.Data, &m); err != nil {
-		t.log.Warn("a message that can't be read", "error", err)
+		t.log.Warn("malformed message from the other process", "error", err)
 	}
 	return m
 }
 
-// encode is a message's text.
+// encode returns the JSON form of a message.
 func encode(m message) []byte {
 	data, err := json.Marshal(m)
-	if err != nil { // no field can fail
+	if err != nil { // every field can be encoded
 		panic(err)
 	}
 	return data
 }
 
-// send sends a message, with a descriptor where fd is not below 0.
-func send(c *transport.ControlChannel, m message, fd int) { c.Send(encode(m), fd) }
+// send sends a message, and a descriptor with it unless fd is below 0.
+func send(channel *transport.ControlChannel, m message, fd int) { channel.Send(encode(m), fd) }
--- a/internal/takeover/parts.go
+++ b/internal/takeover/parts.go
@@ -7,32 +7,35 @@
 	"larchthread/internal/transport"
 )
 
-const maxItems = 500 // ids, hosts or categories in a message: usually some tens of KB; fewer where they take more
+const maxItemsPerMessage = 500 // ids, hosts or categories: usually some tens of KB; long names reduce it
 
-// sendInParts cuts a whole into parts of at most so many items and sends a message for each. A part whose message would be too
-// long is cut into parts of half as many.
-func sendInParts[T any](c *transport.ControlChannel, whole T, most int, split func(whole T, most int) []T, write func(part T) message) {
-	for _, part := range split(whole, most) {
-		data := encode(write(part))
-		if len(data) <= transport.MaxMessageBytes || most == 1 {
-			c.Send(data, -1)
+// sendInParts splits a whole into parts of up to maxItems items and sends a message for each. A part whose message is
+// too long is split further.
+func sendInParts[T any](channel *transport.ControlChannel, whole T, maxItems int, split func(whole T, maxItems int) []T,
+	toMessage func(part T) message) {
+	for _, part := range split(whole, maxItems) {
+		data := encode(toMessage(part))
+		if len(data) <= transport.MaxMessageBytes || maxItems == 1 {
+			channel.Send(data, -1)
 			continue
 		}
-		sendInParts(c, part, most/2, split, write)
+		sendInParts(channel, part, maxItems/2, split, toMessage)
 	}
 }
 
-// sendList sends a list in as many messages as it takes.
-func sendList[T any](c *transport.ControlChannel, items []T, write func(part []T) message) {
-	sendInParts(c, items, maxItems, chunks[T], write)
+// sendList sends a list in as many messages as necessary.
+func sendList[T any](channel *transport.ControlChannel, items []T, toMessage func(part []T) message) {
+	sendInParts(channel, items, maxItemsPerMessage, splitList[T], toMessage)
 }
 
-// chunks cuts a list into parts of at most so many items.
-func chunks[T any](items []T, most int) [][]T { return slices.Collect(slices.Chunk(items, most)) }
+// splitList splits a list into parts of up to most items.
+func splitList[T any](items []T, maxItems int) [][]T {
+	return slices.Collect(slices.Chunk(items, maxItems))
+}
 
-// sendLearned sends what was learned in as many messages as it takes.
-func sendLearned(c *transport.ControlChannel, learned balance.Learned) {
-	sendInParts(c, learned, maxItems, balance.Learned.Split, func(part balance.Learned) message {
+// sendLearned sends what the balancer has learned in as many messages as necessary.
+func sendLearned(channel *transport.ControlChannel, learned balance.Learned) {
+	sendInParts(channel, learned, maxItemsPerMessage, balance.Learned.Split, func(part balance.Learned) message {
 		return message{Kind: kindLearned, Learned: &part}
 	})
 }
--- a/internal/takeover/successor.go
+++ b/internal/takeover/successor.go
@@ -7,33 +7,33 @@
 	"larchthread/internal/transport"
 )
 
-// successor is a process that asks for this one's place, as this one sees it.
+// successor is a process that asks to take over, as seen by the running one.
 type successor struct {
 	*Takeover
-	channel *transport.ControlChannel
-	ready   bool // it serves
-	limit   transport.Timer
-	bans    bans
+	channel     *transport.ControlChannel
+	serving     bool // it has taken over
+	timeout     transport.Timer
+	banRequests banRequests
 }
 
 // MessageReceived implements transport.PeerHandler.
 func (s *successor) MessageReceived(c *transport.ControlChannel, in transport.Message) {
-	m := s.read(in)
-	if in.FD >= 0 { // nothing that it has is wanted here
+	m := s.decode(in)
+	if in.FD >= 0 { // a new process has no descriptors to hand over
 		unix.Close(in.FD)
 	}
 	s.channel = c
 	switch {
-	case m.Kind == kindHello && m.Version != version:
-		send(c, message{Kind: kindRefused, Version: version, Why: "another version"}, -1)
+	case m.Kind == kindHello && m.Version != protocolVersion:
+		send(c, message{Kind: kindRefused, Version: protocolVersion, Why: "another version"}, -1)
 	case m.Kind == kindHello && s.successor != nil:
 		send(c, message{Kind: kindLater, Why: "one at a time"}, -1)
 	case m.Kind == kindHello:
 		s.handOver()
-	case s.successor != s: // its request has not been granted
+	case s.successor != s: // not the process that is taking over
 	case m.Kind == kindReady:
-		s.ready = true
-		s.loop.StopTimer(&s.limit)
+		s.serving = true
+		s.loop.StopTimer(&s.timeout)
 		if s.control != nil {
 			s.control.Close()
 			s.control = nil
@@ -41,11 +41,11 @@
 		s.log.Info("handed over")
 		s.router.SetSuccessor(s)
 	default:
-		s.bans.heed(s.Takeover, c, m)
+		s.banRequests.handle(s.Takeover, c, m)
 	}
 }
 
-// handOver tells the new process all that it needs, the listening socket last.
+// handOver sends the new process the hosts, the bans and what was learned, and finally the listening socket.
 func (s *successor) handOver() {
 	listener, err := s.router.Listener().DupDescriptor()
 	if err != nil {
@@ -54,41 +54,43 @@
 	}
 	s.successor = s
 	s.router.YieldColdBudgets(true)
-	s.shared()
-	s.limit.Fire = func() { // one that stands still must not keep the next from its turn
+	s.updateSharing()
+	s.timeout.Fire = func() { // a process that hangs must not block the next one
 		s.channel.Close()
 		s.PeerLost(s.channel, nil)
 	}
-	s.loop.SetTimer(&s.limit, askMost)
-	open, most := s.loop.SocketUsage()
-	own := max(most/2, min(open+most/headroom, most-most/headroom))
-	s.loop.SetMaxSockets(own)
-	l, past, banned := s.router.KnownHosts()
-	sendList(s.channel, l.Members, func(part []protocol.Member) message {
-		return message{Kind: kindList, List: &protocol.HostList{Revision: l.Revision, Complete: true, Members: part}}
+	s.loop.SetTimer(&s.timeout, handOverTimeout)
+	open, maxSockets := s.loop.SocketUsage()
+	kept := max(maxSockets/2, min(open+maxSockets/headroomDivisor, maxSockets-maxSockets/headroomDivisor))
+	s.loop.SetMaxSockets(kept)
+	list, past, banned := s.router.KnownHosts()
+	sendList(s.channel, list.Members, func(part []protocol.Member) message {
+		return message{Kind: kindList, List: &protocol.HostList{Revision: list.Revision, Complete: true, Members: part}}
 	})
 	sendList(s.channel, past, func(part []string) message { return message{Kind: kindPast, Past: part} })
 	sendList(s.channel, banned, func(part []string) message { return message{Kind: kindPast, Banned: part} })
 	sendLearned(s.channel, s.router.Learned())
-	send(s.channel, message{Kind: kindListener, Sockets: max(most-own-transport.ReservedDescriptors, most/headroom)}, listener)
+	send(s.channel, message{Kind: kindListener,
+		Sockets: max(maxSockets-kept-transport.ReservedDescriptors, maxSockets/headroomDivisor)}, listener)
 }
 
-// PeerLost implements transport.PeerHandler: the new process is gone, and this one goes on as before.
+// PeerLost implements transport.PeerHandler: the new process is gone. This one serves on, also the connections that
+// could not be passed on.
 func (s *successor) PeerLost(_ *transport.ControlChannel, unsent []transport.Message) {
 	if s.successor != s {
 		return
 	}
-	s.log.Warn("the process that was to take over is gone", "served", s.ready)
+	s.log.Warn("the process that was to take over is gone", "served", s.serving)
 	s.successor = nil
 	s.router.YieldColdBudgets(false)
-	s.loop.StopTimer(&s.limit)
-	s.bans.lost(s.loop)
-	if s.ready {
+	s.loop.StopTimer(&s.timeout)
+	s.banRequests.failAll(s.loop)
+	if s.serving {
 		s.router.SetSuccessor(nil)
 	}
-	s.settle()
+	s.acceptSuccessors()
 	for _, u := range unsent {
-		if m := s.read(u); u.FD >= 0 && m.Kind == kindClient {
+		if m := s.decode(u); u.FD >= 0 && m.Kind == kindClient {
 			s.router.AdoptClient(u.FD, m.Unread, m.Proven)
 		} else if u.FD >= 0 {
 			unix.Close(u.FD)
@@ -96,16 +98,16 @@
 	}
 }
 
-// ForwardBan implements routing.Partner.
+// ForwardBan implements routing.PeerProcess.
 func (s *successor) ForwardBan(id string, out bool, done func(known bool)) {
-	s.bans.tell(s.loop, s.channel, id, out, done)
+	s.banRequests.send(s.loop, s.channel, id, out, done)
 }
 
 // PassConnection implements routing.Successor.
 func (s *successor) PassConnection(fd int, unread []byte, proven bool) {
 	send(s.channel, message{Kind: kindClient, Unread: unread, Proven: proven}, fd)
-	_, most := s.loop.SocketUsage()
-	s.loop.SetMaxSockets(most - 1)
+	_, maxSockets := s.loop.SocketUsage()
+	s.loop.SetMaxSockets(maxSockets - 1)
 }
 
 // HasUnsent implements routing.Successor.
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -20,40 +20,40 @@
 )
 
 const (
-	waitFor   = 8 * time.Second // for a hand-over: many times what it takes
-	longAgo   = 1.7e12          // ms, Unix time
-	farFuture = 4e12            // ms, Unix time
+	testTimeout = 8 * time.Second // far more than a hand-over takes
+	longAgo     = 1.7e12          // ms, Unix time
+	farFuture   = 4e12            // ms, Unix time
 )
 
-// logText is a log that several goroutines write and read.
-type logText struct {
+// lockedBuffer is a buffer for log output that several goroutines use.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// process is a balancer with its side of upgrades, on a loop of its own in this test.
+// process is a balancer that can be replaced, on a loop of its own within the test.
 type process struct {
 	loop   *transport.Loop
 	router *routing.Router
-	log    *logText
+	log    *lockedBuffer
 	done   chan error
 }
 
-// newProcess makes a balancer that is not serving yet.
+// newProcess makes a balancer that does not serve yet.
 func newProcess(t *testing.T, startFile *params.StartFile) *process {
-	p := &process{log: &logText{}, done: make(chan error, 1)}
+	p := &process{log: &lockedBuffer{}, done: make(chan error, 1)}
 	log := slog.New(slog.NewTextHandler(p.log, nil))
 	var err error
 	if p.loop, err = transport.NewLoop(startFile.Sockets, int(startFile.MemoryMB)<<20, log); err != nil {
@@ -65,25 +65,25 @@
 	return p
 }
 
-// run listens and serves.
-func (p *process) run(t *testing.T, startFile *params.StartFile, dir string) {
+// start listens, or takes over, and runs the loop in a goroutine.
+func (p *process) start(t *testing.T, startFile *params.StartFile, dir string) {
 	if _, err := Start(p.loop, p.loop.Log, p.router, startFile.Listen, dir, func(int) {}); err != nil {
 		t.Fatal(err)
 	}
 	go func() { p.done <- p.loop.Run() }()
 }
 
-// await waits until the log says something.
+// await waits until the log contains a text.
 func (p *process) await(t *testing.T, text string) {
 	t.Helper()
-	for end := time.Now().Add(waitFor); !strings.Contains(p.log.String(), text); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(p.log.String(), text); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in the log: %s\n%.4000s", text, p.log)
 		}
 	}
 }
 
-// stop ends the process in good order.
+// stop shuts the process down.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	p.router.Shutdown()
@@ -92,13 +92,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(waitFor):
-		t.Fatal("it goes on")
+	case <-time.After(testTimeout):
+		t.Fatal("the process does not end")
 	}
 }
 
-// toldWith is what a balancer with so many categories is told.
-func toldWith(t *testing.T, categories int) *params.StartFile {
+// newStartFile makes a start file with a free address and that many categories.
+func newStartFile(t *testing.T, categories int) *params.StartFile {
 	listen, err := standin.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
@@ -119,20 +119,23 @@
 	return startFile
 }
 
-// fleetState is what a process knows of a fleet: the list, the bans and what was learned.
+// fleetState is what a process knows of a fleet.
 type fleetState struct {
 	list    *protocol.HostList
 	banned  []string
 	learned balance.Learned
 }
 
-// stateOf makes the state of a fleet in which every second host is banned, and something was learned of each host and category.
-func stateOf(startFile *params.StartFile, hosts int, suffix string) fleetState {
+// newFleetState makes a fleet in which every second host is banned and something was learned of every host and
+// category. Names end in suffix.
+func newFleetState(startFile *params.StartFile, hosts int, suffix string) fleetState {
 	s := fleetState{list: &protocol.HostList{Revision: 7, Complete: true}}
 	s.learned = balance.Learned{Rate: 0.123456789, Usual: 1.23456789,
-		Fleet: balance.LimiterState{Limit: 1234.56789, Pain: 0.123456789, Lat: 12.3456789, Dev: 1.23456789}, Hosts: map[string]balance.HostState{}}
+		Fleet: balance.LimiterState{Limit: 1234.56789, Pain: 0.123456789, Lat: 12.3456789, Dev: 1.23456789},
+		Hosts: map[string]balance.HostState{}}
 	for i, c := range startFile.Params.Categories {
-		s.learned.Rows = append(s.learned.Rows, balance.CategoryState{Target: c.Target / 1000, Lat: 10 + float64(i)/7, Dev: 1 + float64(i)/7})
+		s.learned.Rows = append(s.learned.Rows, balance.CategoryState{Target: c.Target / 1000, Lat: 10 + float64(i)/7,
+			Dev: 1 + float64(i)/7})
 	}
 	for i := range hosts {
 		id := fmt.Sprintf("cache-%05d%s", i, suffix)
@@ -149,8 +152,8 @@
 	return s
 }
 
-// A successor has all that the running process knew, however many hosts, bans and categories there are, and however long
-// their names: no message may grow past what a socket takes.
+// Guards against messages that are too long for a socket: a successor has to know all hosts, bans and categories of the
+// running process, whatever their number and the length of their names.
 func TestHandOverOfManyHosts(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -162,14 +165,14 @@
 		{"4,096 categories", 4, 4096, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			dir, startFile := t.TempDir(), toldWith(t, c.categories)
-			state := stateOf(startFile, c.hosts, c.suffix)
+			dir, startFile := t.TempDir(), newStartFile(t, c.categories)
+			state := newFleetState(startFile, c.hosts, c.suffix)
 			running, next := newProcess(t, startFile), newProcess(t, startFile)
 			running.router.AdoptHostState(state.list, nil, state.banned, []balance.Learned{state.learned})
-			running.run(t, startFile, dir)
+			running.start(t, startFile, dir)
 			running.await(t, "listening")
 			began := time.Now()
-			next.run(t, startFile, dir)
+			next.start(t, startFile, dir)
 			running.await(t, "handed over")
 			t.Logf("handed over in %v", time.Since(began).Round(time.Millisecond))
 			running.stop(t)
@@ -186,7 +189,7 @@
 	}
 }
 
-// checkLearned looks for what was learned of categories, and of hosts that are not banned: a ban voids what it voids.
+// checkLearned compares what was learned of categories and of hosts without a ban; a ban discards it.
 func checkLearned(t *testing.T, want fleetState, got balance.Learned) {
 	t.Helper()
 	wrong := 0
@@ -196,7 +199,7 @@
 		}
 	}
 	if wrong > 0 {
-		t.Errorf("%d of %d categories have not what was learned of them", wrong, len(want.learned.Rows))
+		t.Errorf("%d of %d categories lack what was learned of them", wrong, len(want.learned.Rows))
 	}
 	wrong = 0
 	for i, m := range want.list.Members {
@@ -205,6 +208,6 @@
 		}
 	}
 	if wrong > 0 {
-		t.Errorf("%d of %d hosts have not what was learned of them", wrong, len(want.list.Members)/2)
+		t.Errorf("%d of %d hosts lack what was learned of them", wrong, len(want.list.Members)/2)
 	}
 }
