--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -64,7 +64,7 @@
 type AnswerReader interface {
 	// Next removes the next answer from in. It returns nil while the answer is incomplete.
 	Next(in *transport.Chain) (*Answer, error)
-	// StreamValue moves up to most bytes of the last answer's value from in to out, and returns true once all of it
+	// StreamValue moves up to maxBytes bytes of the last answer's value from in to out, and returns true once all of it
 	// has been moved. It is called only after an answer with a StreamSize above 0.
 	StreamValue(in, out *transport.Chain, maxBytes int) (done bool, err error)
 	// Finish tells the reader that the other side has closed the connection in an orderly way. It returns the
@@ -83,8 +83,8 @@
 // Next implements AnswerReader.
 func (r *HostAnswerReader) Next(in *transport.Chain) (*Answer, error) {
 	if r.pending == nil {
-		line, whole, err := takeLine(in)
-		if !whole {
+		line, complete, err := takeLine(in)
+		if !complete {
 			return nil, err
 		}
 		a, size, err := parseAnswer(line)
@@ -96,8 +96,8 @@
 	if r.remaining > MaxBufferedValueBytes {
 		return r.startStream()
 	}
-	value, whole, err := takeValue(in, r.remaining)
-	if !whole {
+	value, complete, err := takeValue(in, r.remaining)
+	if !complete {
 		return nil, err
 	}
 	a := r.pending
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -43,11 +43,11 @@
 // be parsed.
 func (r *AdminRequestReader) Next(in *transport.Chain) (*AdminRequest, *RequestError) {
 	for !r.inBody {
-		line, whole, err := takeLine(in)
+		line, complete, err := takeLine(in)
 		switch {
 		case err != nil:
 			return nil, badRequest("%v", err)
-		case !whole:
+		case !complete:
 			return nil, nil
 		}
 		if r.headLines++; r.headLines > maxHeadLines {
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -64,8 +64,8 @@
 // connection's bytes can't be parsed any further.
 func (r *CommandReader) Next(in *transport.Chain) (*Command, error) {
 	if r.pending == nil {
-		line, whole, err := takeLine(in)
-		if !whole {
+		line, complete, err := takeLine(in)
+		if !complete {
 			return nil, err
 		}
 		c, size, err := parseCommand(line)
@@ -74,8 +74,8 @@
 		}
 		r.pending, r.valueSize, r.line = c, size, line
 	}
-	value, whole, err := takeValue(in, r.valueSize)
-	if !whole {
+	value, complete, err := takeValue(in, r.valueSize)
+	if !complete {
 		return nil, err
 	}
 	c := r.pending
@@ -112,16 +112,16 @@
 }
 
 // takeLine removes a line from in once it is complete.
-func takeLine(in *transport.Chain) (line string, whole bool, err error) {
-	line, whole = in.ReadLine()
-	if len(line) > maxLineBytes || !whole && in.Len() > maxLineBytes {
+func takeLine(in *transport.Chain) (line string, complete bool, err error) {
+	line, complete = in.ReadLine()
+	if len(line) > maxLineBytes || !complete && in.Len() > maxLineBytes {
 		return "", false, fmt.Errorf("a line of over %d bytes", maxLineBytes)
 	}
-	return line, whole, nil
+	return line, complete, nil
 }
 
 // takeValue removes a value of size bytes and the line end after it from in once both are complete.
-func takeValue(in *transport.Chain, size int) (value transport.Chain, whole bool, err error) {
+func takeValue(in *transport.Chain, size int) (value transport.Chain, complete bool, err error) {
 	if in.Len() < size+2 {
 		return value, false, nil
 	}
@@ -200,7 +200,7 @@
 	return size, args[1:], nil
 }
 
-// parseDigits parses a number from 0 to most. It accepts digits only: a sign or a base prefix may mean something else
+// parseDigits parses a number from 0 to limit. It accepts digits only: a sign or a base prefix may mean something else
 // to the next reader, or come from a corrupted line.
 func parseDigits(s string, limit int) (int, error) {
 	if s == "" || strings.Trim(s, "0123456789") != "" {
--- a/internal/protocol/http.go
+++ b/internal/protocol/http.go
@@ -71,7 +71,7 @@
 			if in.Len() < 2 {
 				return nil, nil
 			}
-			if line, whole := in.ReadLine(); !whole || line != "" {
+			if line, complete := in.ReadLine(); !complete || line != "" {
 				return nil, fmt.Errorf("no line end behind a chunk")
 			}
 			r.part = chunkSize
@@ -84,8 +84,8 @@
 			}
 			return nil, nil
 		default:
-			line, whole, err := takeLine(in)
-			if !whole {
+			line, complete, err := takeLine(in)
+			if !complete {
 				return nil, err
 			}
 			a, err := r.parseLine(in, line)
--- a/internal/takeover/parts.go
+++ b/internal/takeover/parts.go
@@ -28,7 +28,7 @@
 	sendInParts(channel, items, maxItemsPerMessage, splitList[T], toMessage)
 }
 
-// splitList splits a list into parts of up to most items.
+// splitList splits a list into parts of up to maxItems items.
 func splitList[T any](items []T, maxItems int) [][]T {
 	return slices.Collect(slices.Chunk(items, maxItems))
 }
