--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -96,7 +96,7 @@
 	l := &Loop{Log: log, Pool: &Pool{}, epoll: epoll, wakeFD: wakeFD, maxSockets: descriptors - ReservedDescriptors}
 	// The kernel doubles the requested size, and each connection has two directions.
 	l.kernelBufferBytes = max(minKernelBuffer, int(kernelMemoryShare*float64(memory))/descriptors/4)
-	l.startedAt, l.startWall = time.Now(), float64(machine.Wall().UnixMicro())/1000
+	l.startedAt, l.startWall = time.Now(), float64(machine.WallTime().UnixMicro())/1000
 	l.updateNow()
 	l.lastPollAt = l.now
 	l.resendTimer.Fire = func() {} // the round that it starts sends
@@ -219,7 +219,7 @@
 	if l.skipWait || len(l.readyConns) > 0 {
 		return 0
 	}
-	next := l.timers.Next()
+	next := l.timers.NextDue()
 	if math.IsInf(next, 1) {
 		return -1
 	}
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -16,8 +16,8 @@
 
 // fireDue fires the timers that are due. Timers set meanwhile wait for the next round.
 func (l *Loop) fireDue() {
-	last := l.timers.Seq()
-	for t, due := l.timers.DueOf(l.now, last); due; t, due = l.timers.DueOf(l.now, last) {
+	last := l.timers.LastSeq()
+	for t, due := l.timers.PopDueUpTo(l.now, last); due; t, due = l.timers.PopDueUpTo(l.now, last) {
 		t.Fire()
 	}
 }
