--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,4 +1,5 @@
-// Package timerqueue orders timers by when they are due: the balancer's looks at ops and pushes, and the loop's timers.
+// Package timerqueue implements a priority queue of timers, ordered by due time. The balancer uses it for ops and pushes, and
+// the event loop for its timers. Times are numbers in a unit that the caller chooses.
 package timerqueue
 
 import (
@@ -6,92 +7,93 @@
 	"math"
 )
 
-// Timer is the part of an item that stands in a queue. It lies in the item, so that setting it allocates nothing. The zero
-// Timer is not set.
+// Timer is the queue's state of one item. Items embed it, so that setting a timer does not allocate. The zero Timer is not set.
 type Timer struct {
-	at    float64
-	seq   uint64
-	place int // in the heap, from 1; 0 while it is not set
+	dueAt   float64
+	setSeq  uint64
+	heapPos int // index in the heap plus 1; 0 while the timer is not set
 }
 
 func (t *Timer) timer() *Timer { return t }
 
-// DueAt is when the item falls due, or last fell due.
-func (t *Timer) DueAt() float64 { return t.at }
+// DueAt returns the time for which the timer was last set, also after it was stopped or taken from the queue.
+func (t *Timer) DueAt() float64 { return t.dueAt }
 
-// Item is a pointer to what has a Timer in it.
+// Item is implemented by pointers to types that embed Timer.
 type Item interface{ timer() *Timer }
 
-// Queue is a heap of what is due, of one time in the order of setting. It holds nothing that has become void: where ops
-// last some 100 µs and their TTL is seconds, nearly all of it would be.
+// Queue is a heap of items, ordered by due time; items with the same due time are ordered by when they were set. Stopped
+// items are removed at once: ops last about 100 µs and have TTLs of seconds, so stale entries would soon outnumber the
+// others. The zero Queue is empty and ready to use.
 type Queue[T Item] struct {
-	all order[T]
-	seq uint64
+	items   timerHeap[T]
+	lastSeq uint64
 }
 
-// Set has x fall due at a time; an earlier setting is void.
+// Set schedules x for the time at, in place of an earlier time.
 func (q *Queue[T]) Set(x T, at float64) {
 	q.Stop(x)
-	q.seq++
+	q.lastSeq++
 	t := x.timer()
-	t.at, t.seq = at, q.seq
-	heap.Push(&q.all, x)
+	t.dueAt, t.setSeq = at, q.lastSeq
+	heap.Push(&q.items, x)
 }
 
-// Stop voids the setting of x, if there is one.
+// Stop removes x from the queue. It does nothing if x is not set.
 func (q *Queue[T]) Stop(x T) {
-	if place := x.timer().place; place > 0 {
-		heap.Remove(&q.all, place-1)
+	if pos := x.timer().heapPos; pos > 0 {
+		heap.Remove(&q.items, pos-1)
 	}
 }
 
-// NextDue is when the first falls due, infinity where nothing is set.
+// NextDue returns the earliest due time, or positive infinity if the queue is empty.
 func (q *Queue[T]) NextDue() float64 {
-	if len(q.all) == 0 {
+	if len(q.items) == 0 {
 		return math.Inf(1)
 	}
-	return q.all[0].timer().at
+	return q.items[0].timer().dueAt
 }
 
-// PopDue takes out the first, if it is due by now.
-func (q *Queue[T]) PopDue(now float64) (x T, due bool) { return q.PopDueUpTo(now, q.seq) }
+// PopDue removes and returns the first item if its due time is now or earlier; due is false if there is none.
+func (q *Queue[T]) PopDue(now float64) (x T, due bool) { return q.PopDueUpTo(now, q.lastSeq) }
 
-// LastSeq tells how many settings there have been.
-func (q *Queue[T]) LastSeq() uint64 { return q.seq }
+// LastSeq returns the sequence number of the last call of Set; calls are numbered from 1.
+func (q *Queue[T]) LastSeq() uint64 { return q.lastSeq }
 
-// PopDueUpTo does as Due, if the first is of the settings up to the last one given.
-func (q *Queue[T]) PopDueUpTo(now float64, last uint64) (x T, due bool) {
-	if q.NextDue() > now || q.all[0].timer().seq > last {
+// PopDueUpTo is PopDue, but also returns false if the first item was set after call maxSeq of Set. A loop that passes the
+// LastSeq of its start does not take items that are set while it runs.
+func (q *Queue[T]) PopDueUpTo(now float64, maxSeq uint64) (x T, due bool) {
+	if q.NextDue() > now || q.items[0].timer().setSeq > maxSeq {
 		return x, false
 	}
-	return heap.Pop(&q.all).(T), true
+	return heap.Pop(&q.items).(T), true
 }
 
-// order implements heap.Interface.
-type order[T Item] []T
+// timerHeap implements heap.Interface and keeps each timer's heapPos up to date.
+type timerHeap[T Item] []T
 
-func (o order[T]) Len() int { return len(o) }
+func (h timerHeap[T]) Len() int { return len(h) }
 
-func (o order[T]) Less(i, j int) bool {
-	a, b := o[i].timer(), o[j].timer()
-	return a.at < b.at || a.at == b.at && a.seq < b.seq
+func (h timerHeap[T]) Less(i, j int) bool {
+	a, b := h[i].timer(), h[j].timer()
+	return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.setSeq < b.setSeq
 }
 
-func (o order[T]) Swap(i, j int) {
-	o[i], o[j] = o[j], o[i]
-	o[i].timer().place, o[j].timer().place = i+1, j+1
+func (h timerHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].timer().heapPos, h[j].timer().heapPos = i+1, j+1
 }
 
-func (o *order[T]) Push(x any) {
-	*o = append(*o, x.(T))
-	x.(T).timer().place = len(*o)
+func (h *timerHeap[T]) Push(x any) {
+	*h = append(*h, x.(T))
+	x.(T).timer().heapPos = len(*h)
 }
 
-func (o *order[T]) Pop() any {
-	n := len(*o) - 1
-	x := (*o)[n]
-	clear((*o)[n:])
-	*o = (*o)[:n]
-	x.timer().place = 0
+func (h *timerHeap[T]) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	clear((*h)[last:])
+	*h = (*h)[:last]
+	x.timer().heapPos = 0
 	return x
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -2,26 +2,27 @@
 
 import "fmt"
 
-type thing struct {
+type testItem struct {
 	Timer
 	name string
 }
 
-// What is due comes by time, of one time in the order of setting; what is set anew or stopped does not come as first set.
+// Items come in the order of their due times, then in the order in which they were set. Setting an item again replaces its
+// time.
 func ExampleQueue() {
-	var q Queue[*thing]
-	things := map[string]*thing{}
+	var q Queue[*testItem]
+	items := map[string]*testItem{}
 	for i, name := range []string{"late", "early", "same", "moved", "stopped"} {
-		things[name] = &thing{name: name}
-		q.Set(things[name], []float64{9, 1, 1, 2, 3}[i])
+		items[name] = &testItem{name: name}
+		q.Set(items[name], []float64{9, 1, 1, 2, 3}[i])
 	}
-	q.Set(things["moved"], 5)
-	q.Stop(things["stopped"])
-	q.Stop(things["stopped"])
-	last := q.LastSeq()
-	for x, due := q.PopDueUpTo(8, last); due; x, due = q.PopDueUpTo(8, last) {
+	q.Set(items["moved"], 5)
+	q.Stop(items["stopped"])
+	q.Stop(items["stopped"])
+	lastSeq := q.LastSeq()
+	for x, due := q.PopDueUpTo(8, lastSeq); due; x, due = q.PopDueUpTo(8, lastSeq) {
 		fmt.Println(x.name, x.DueAt())
-		q.Set(things["stopped"], 6) // set meanwhile: it waits
+		q.Set(items["stopped"], 6) // set during the loop: left for the next one
 	}
 	fmt.Println("next", q.NextDue())
 	for x, due := q.PopDue(9); due; x, due = q.PopDue(9) {
