--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -1,5 +1,5 @@
-// Package machine is what a process takes from its machine and a trial may spoil: files that have to last, and the wall clock.
-// The shipped build goes straight to the system. A build with the tag faults is told over a socket what to spoil (spoil.go).
+// Package machine provides durable files and the wall clock. By default it calls the operating system directly. Built with the
+// tag faults, it can be told over a socket to inject disk and clock faults (see spoil.go).
 package machine
 
 import (
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// File is a file that is being written.
+// File is a file open for writing.
 type File interface {
 	io.Writer
-	Sync() error // returns once the disk has what was written
+	Sync() error // flushes what was written to stable storage
 	Close() error
 }
 
-// FileSystem are the ways to files that have to last.
+// FileSystem gives access to files that must survive a crash.
 type FileSystem interface {
 	ReadFile(path string) ([]byte, error)
-	Create(path string) (File, error) // empty, in place of one that is there
-	Append(path string) (File, error) // what is written goes behind what one that is there holds
-	Rename(from, to string) error     // in place of one that is there
-	SyncDir(path string) error        // returns once the disk has the names in it
+	Create(path string) (File, error) // creates the file, or truncates an existing one
+	Append(path string) (File, error) // opens an existing file for appending
+	Rename(from, to string) error     // replaces to if it exists
+	SyncDir(path string) error        // flushes a directory's entries to stable storage
 }
 
-// disk is the system's own files.
-type disk struct{}
+// osFileSystem implements FileSystem with the operating system's files.
+type osFileSystem struct{}
 
-func (disk) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+func (osFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-func (disk) Create(path string) (File, error) {
+func (osFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
 
-func (disk) Append(path string) (File, error) {
+func (osFileSystem) Append(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-func (disk) Rename(from, to string) error { return os.Rename(from, to) }
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-func (disk) SyncDir(path string) error {
+func (osFileSystem) SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
 		return err
@@ -48,26 +48,28 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// WriteFileAtomic puts a text in place of a file, such that a process or machine that ends amid it leaves the old text or the new one:
-// it is written beside, brought to the disk, and renamed over.
-func WriteFileAtomic(f FileSystem, directory, path string, text []byte) error {
-	beside := path + ".new"
-	file, err := f.Create(beside)
+// WriteFileAtomic replaces the file at path, which must lie in the directory dir. It writes and syncs a temporary file (path
+// plus ".new"), renames it to path and syncs dir, so that a crash at any point leaves either the old content or the new one.
+// It returns the first error; after an error of the final sync the new content may be in place.
+func WriteFileAtomic(fs FileSystem, dir, path string, data []byte) error {
+	tempPath := path + ".new"
+	file, err := fs.Create(tempPath)
 	if err != nil {
 		return err
 	}
-	_, err = file.Write(text)
+	_, err = file.Write(data)
 	if err == nil {
 		err = file.Sync()
 	}
 	if err := errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	if err := f.Rename(beside, path); err != nil {
+	if err := fs.Rename(tempPath, path); err != nil {
 		return err
 	}
-	return f.SyncDir(directory)
+	return fs.SyncDir(dir)
 }
 
-// WallTime is the wall clock, for what is compared with times of other machines.
-func WallTime() time.Time { return time.Now().Add(off()) }
+// WallTime returns the wall clock's time, shifted by an injected offset in builds with the tag faults. Use it for times that
+// are compared with those of other machines.
+func WallTime() time.Time { return time.Now().Add(clockOffset()) }
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// WriteFileAtomic replaces the content and leaves no temporary file.
 func TestSave(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "record")
@@ -19,14 +20,15 @@
 		}
 	}
 	if names, _ := os.ReadDir(dir); len(names) != 1 {
-		t.Errorf("left behind: %v", names)
+		t.Errorf("files after the writes: %v, want one", names)
 	}
 }
 
+// Append writes behind the existing content, and fails if the file does not exist.
 func TestAppend(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if _, err := LocalFileSystem().Append(path); !os.IsNotExist(err) {
-		t.Fatalf("of a file that is not there: %v", err)
+		t.Fatalf("append to a missing file: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("first"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/machine/plain.go
+++ b/internal/machine/plain.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// LocalFileSystem is the files of this machine.
-func LocalFileSystem() FileSystem { return disk{} }
+// LocalFileSystem returns the file system of this machine.
+func LocalFileSystem() FileSystem { return osFileSystem{} }
 
-func off() time.Duration { return 0 }
+// clockOffset returns 0: this build injects no clock fault.
+func clockOffset() time.Duration { return 0 }
--- a/internal/machine/spoil.go
+++ b/internal/machine/spoil.go
@@ -14,35 +14,36 @@
 	"time"
 )
 
-// In this build the socket that the environment names takes lines, and answers each with ok or what is wrong with it:
+// This build listens on the Unix socket that LARCHTHREAD_FAULTS names. Each line is a command, answered with "ok" or an error:
 //
-//	disk write|sync|rename|full|hang|torn   spoil files so, in place of what was before
-//	disk well                               no more
-//	clock DURATION                          the wall clock is off by so much
+//	disk write|sync|rename|full|hang|torn   inject this disk fault, in place of an earlier one
+//	disk well                               end the disk fault
+//	clock DURATION                          shift the wall clock by DURATION
 //
-// write, sync, rename: that call fails. full: writes fail as on a full disk. hang: syncs wait until disk well. torn: what has
-// not been synced when the process ends is there by half.
+// write, sync, rename: these calls fail. full: writes fail as on a full disk. hang: syncs block until "disk well". torn: part
+// of the unsynced data is held back, so that a process that is killed leaves a torn file.
 const (
-	socketVar = "LARCHTHREAD_FAULTS"
-	clockVar  = "LARCHTHREAD_WALL" // by how much the clock is off from the start
+	socketEnv      = "LARCHTHREAD_FAULTS"
+	clockOffsetEnv = "LARCHTHREAD_WALL" // initial clock offset, as a duration
 )
 
-var errSpoilt = errors.New("input/output error (spoilt for a trial)")
+var errInjected = errors.New("input/output error (injected fault)")
 
-var spoilt = struct {
-	mu   sync.Mutex
-	how  string
-	well chan struct{} // closed once the disk is well again
-	off  time.Duration
-}{well: make(chan struct{})}
+// faults is the state that the fault commands set.
+var faults = struct {
+	mu           sync.Mutex
+	disk         string        // the disk fault in effect; empty: none
+	diskRestored chan struct{} // closed and replaced by "disk well"
+	clockOffset  time.Duration
+}{diskRestored: make(chan struct{})}
 
 func init() {
-	spoilt.off, _ = time.ParseDuration(os.Getenv(clockVar))
-	path := os.Getenv(socketVar)
+	faults.clockOffset, _ = time.ParseDuration(os.Getenv(clockOffsetEnv))
+	path := os.Getenv(socketEnv)
 	if path == "" {
 		return
 	}
-	os.Remove(path) // an earlier process's
+	os.Remove(path) // left by an earlier process
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "faults: %v\n", err)
@@ -57,95 +58,98 @@
 			go func() {
 				defer c.Close()
 				for s := bufio.NewScanner(c); s.Scan(); {
-					fmt.Fprintln(c, spoil(strings.Fields(s.Text())))
+					fmt.Fprintln(c, applyFault(strings.Fields(s.Text())))
 				}
 			}()
 		}
 	}()
 }
 
-// spoil does what a line says.
-func spoil(words []string) string {
+// applyFault carries out one command, given as its words. It returns "ok" or what is wrong with the command.
+func applyFault(words []string) string {
 	if len(words) != 2 {
 		return "want two words"
 	}
-	spoilt.mu.Lock()
-	defer spoilt.mu.Unlock()
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
 	switch words[0] + " " + words[1] {
 	case "disk well":
-		close(spoilt.well)
-		spoilt.how, spoilt.well = "", make(chan struct{})
+		close(faults.diskRestored)
+		faults.disk, faults.diskRestored = "", make(chan struct{})
 		return "ok"
 	case "disk write", "disk sync", "disk rename", "disk full", "disk hang", "disk torn":
-		spoilt.how = words[1]
+		faults.disk = words[1]
 		return "ok"
 	}
-	off, err := time.ParseDuration(words[1])
+	offset, err := time.ParseDuration(words[1])
 	if words[0] != "clock" || err != nil {
 		return "unknown: " + strings.Join(words, " ")
 	}
-	spoilt.off = off
+	faults.clockOffset = offset
 	return "ok"
 }
 
-func off() time.Duration {
-	spoilt.mu.Lock()
-	defer spoilt.mu.Unlock()
-	return spoilt.off
+// clockOffset returns the offset that is added to the wall clock.
+func clockOffset() time.Duration {
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
+	return faults.clockOffset
 }
 
-// is tells whether files are spoilt in a way, and what is closed when that ends.
-func is(how string) (bool, <-chan struct{}) {
-	spoilt.mu.Lock()
-	defer spoilt.mu.Unlock()
-	return spoilt.how == how, spoilt.well
+// diskFault reports whether the given disk fault is in effect. The channel is closed by the next "disk well".
+func diskFault(kind string) (bool, <-chan struct{}) {
+	faults.mu.Lock()
+	defer faults.mu.Unlock()
+	return faults.disk == kind, faults.diskRestored
 }
 
-// LocalFileSystem is the files of this machine, spoilt as the socket says.
-func LocalFileSystem() FileSystem { return spoiltDisk{} }
+// LocalFileSystem returns the file system of this machine, with the injected disk faults.
+func LocalFileSystem() FileSystem { return faultyFileSystem{} }
 
-type spoiltDisk struct{ disk }
+// faultyFileSystem implements FileSystem with the disk faults that are in effect at each call.
+type faultyFileSystem struct{ osFileSystem }
 
-func (d spoiltDisk) Create(path string) (File, error) {
-	f, err := d.disk.Create(path)
-	return &spoiltFile{File: f}, err
+func (fs faultyFileSystem) Create(path string) (File, error) {
+	f, err := fs.osFileSystem.Create(path)
+	return &faultyFile{File: f}, err
 }
 
-func (d spoiltDisk) Append(path string) (File, error) {
-	f, err := d.disk.Append(path)
+func (fs faultyFileSystem) Append(path string) (File, error) {
+	f, err := fs.osFileSystem.Append(path)
 	if err != nil {
 		return nil, err
 	}
-	return &spoiltFile{File: f}, nil
+	return &faultyFile{File: f}, nil
 }
 
-func (d spoiltDisk) Rename(from, to string) error {
-	if on, _ := is("rename"); on {
-		return &os.LinkError{Op: "rename", Old: from, New: to, Err: errSpoilt}
+func (fs faultyFileSystem) Rename(from, to string) error {
+	if active, _ := diskFault("rename"); active {
+		return &os.LinkError{Op: "rename", Old: from, New: to, Err: errInjected}
 	}
-	return d.disk.Rename(from, to)
+	return fs.osFileSystem.Rename(from, to)
 }
 
-// spoiltFile holds half of what is not synced back while a kill is to tear it.
-type spoiltFile struct {
+// faultyFile is a File with injected faults. Under the fault "torn" it writes half of the first unsynced write, and holds back
+// the rest and all later writes until Sync or Close.
+type faultyFile struct {
 	File
-	back []byte
+	held []byte // accepted by Write but not written yet
 }
 
-func (f *spoiltFile) Write(p []byte) (int, error) {
-	if on, _ := is("write"); on {
-		return 0, errSpoilt
+func (f *faultyFile) Write(p []byte) (int, error) {
+	if active, _ := diskFault("write"); active {
+		return 0, errInjected
 	}
-	if on, _ := is("full"); on {
+	if active, _ := diskFault("full"); active {
 		return 0, syscall.ENOSPC
 	}
-	if on, _ := is("torn"); on || len(f.back) > 0 {
-		now := 0
-		if len(f.back) == 0 {
-			now = len(p) / 2
+	if active, _ := diskFault("torn"); active || len(f.held) > 0 {
+		written := 0
+		if len(f.held) == 0 {
+			written = len(p) / 2
 		}
-		f.back = append(f.back, p[now:]...)
-		if _, err := f.File.Write(p[:now]); err != nil {
+		f.held = append(f.held, p[written:]...)
+		if _, err := f.File.Write(p[:written]); err != nil {
 			return 0, err
 		}
 		return len(p), nil
@@ -153,12 +157,12 @@
 	return f.File.Write(p)
 }
 
-func (f *spoiltFile) Sync() error {
-	if on, _ := is("sync"); on {
-		return errSpoilt
+func (f *faultyFile) Sync() error {
+	if active, _ := diskFault("sync"); active {
+		return errInjected
 	}
-	if on, well := is("hang"); on {
-		<-well
+	if active, restored := diskFault("hang"); active {
+		<-restored
 	}
 	if err := f.flush(); err != nil {
 		return err
@@ -166,10 +170,11 @@
 	return f.File.Sync()
 }
 
-func (f *spoiltFile) flush() error {
-	_, err := f.File.Write(f.back)
-	f.back = nil
+// flush writes the data that is held back.
+func (f *faultyFile) flush() error {
+	_, err := f.File.Write(f.held)
+	f.held = nil
 	return err
 }
 
-func (f *spoiltFile) Close() error { return errors.Join(f.flush(), f.File.Close()) }
+func (f *faultyFile) Close() error { return errors.Join(f.flush(), f.File.Close()) }
--- a/internal/machine/spoil_test.go
+++ b/internal/machine/spoil_test.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// Whatever fails amid a save, the old text stays; once the disk is well the next one counts.
-func TestSpoiltSave(t *testing.T) {
-	for _, how := range []string{"write", "sync", "rename", "full"} {
+// An atomic write that fails at any step leaves the old content; the next write succeeds once the fault has ended.
+func TestSaveWithDiskFaults(t *testing.T) {
+	for _, kind := range []string{"write", "sync", "rename", "full"} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "record")
 		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte("old")); err != nil {
 			t.Fatal(err)
 		}
-		if said := spoil([]string{"disk", how}); said != "ok" {
-			t.Fatal(said)
+		if answer := applyFault([]string{"disk", kind}); answer != "ok" {
+			t.Fatal(answer)
 		}
 		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte("new")); err == nil {
-			t.Errorf("%s: no error", how)
+			t.Errorf("%s: no error", kind)
 		}
 		if got, _ := LocalFileSystem().ReadFile(path); string(got) != "old" {
-			t.Errorf("%s: left %q", how, got)
+			t.Errorf("%s: content is %q, want the old one", kind, got)
 		}
-		spoil([]string{"disk", "well"})
+		applyFault([]string{"disk", "well"})
 		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte("new")); err != nil {
-			t.Errorf("%s, well again: %v", how, err)
+			t.Errorf("%s, after the fault: %v", kind, err)
 		}
 	}
 }
 
-// A process that ends before its sync leaves half of what it wrote; one that ends behind it leaves all.
-func TestTorn(t *testing.T) {
-	spoil([]string{"disk", "torn"})
-	defer spoil([]string{"disk", "well"})
+// Under the fault "torn", a file has half of the written data before Sync, and all of it afterwards.
+func TestTornWrite(t *testing.T) {
+	applyFault([]string{"disk", "torn"})
+	defer applyFault([]string{"disk", "well"})
 	path := filepath.Join(t.TempDir(), "record")
 	f, err := LocalFileSystem().Create(path)
 	if err != nil {
@@ -48,18 +48,18 @@
 	}
 	f.Sync()
 	if got, _ := os.ReadFile(path); string(got) != "0123456789" {
-		t.Errorf("behind it: %q", got)
+		t.Errorf("after the sync: %q", got)
 	}
 }
 
-// Of what is appended and not synced, half is there; what stood before stays whole.
+// Under the fault "torn", half of the appended data is missing before Sync; the earlier content is intact.
 func TestTornAppend(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(path, []byte("old"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	spoil([]string{"disk", "torn"})
-	defer spoil([]string{"disk", "well"})
+	applyFault([]string{"disk", "torn"})
+	defer applyFault([]string{"disk", "well"})
 	f, err := LocalFileSystem().Append(path)
 	if err != nil {
 		t.Fatal(err)
@@ -70,33 +70,35 @@
 	}
 	f.Sync()
 	if got, _ := os.ReadFile(path); string(got) != "old0123456789" {
-		t.Errorf("behind it: %q", got)
+		t.Errorf("after the sync: %q", got)
 	}
 }
 
+// Under the fault "hang", a write blocks in Sync until the fault ends.
 func TestHang(t *testing.T) {
-	spoil([]string{"disk", "hang"})
+	applyFault([]string{"disk", "hang"})
 	dir := t.TempDir()
 	done := make(chan error)
 	go func() { done <- WriteFileAtomic(LocalFileSystem(), dir, filepath.Join(dir, "record"), []byte("x")) }()
 	select {
 	case err := <-done:
-		t.Fatal("it did not hang", err)
+		t.Fatal("the write did not block", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	spoil([]string{"disk", "well"})
+	applyFault([]string{"disk", "well"})
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
+// The command "clock" shifts WallTime, and a malformed duration is refused.
 func TestClock(t *testing.T) {
-	spoil([]string{"clock", "1h"})
-	defer spoil([]string{"clock", "0s"})
+	applyFault([]string{"clock", "1h"})
+	defer applyFault([]string{"clock", "0s"})
 	if d := time.Until(WallTime()); d < 59*time.Minute || d > 61*time.Minute {
 		t.Error(d)
 	}
-	if said := spoil([]string{"clock", "soon"}); said == "ok" {
-		t.Error(said)
+	if answer := applyFault([]string{"clock", "soon"}); answer == "ok" {
+		t.Error(answer)
 	}
 }
