--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -1,9 +1,10 @@
-// Package change keeps changes of an inventory: one at a time, checked, staged, applied at once, on trial for a while, and
-// undone by itself when service falls. It opens no file and reads no clock: a Store keeps its record, and Tick is told the
-// time and how ops have fared.
+// Package change manages inventory changes, one at a time. A change is validated and staged, then applied to all hosts at
+// once and observed during a trial period. It is confirmed at the end of the trial, or undone automatically if the success
+// rate of ops drops. The package does no I/O and reads no clock: a Store persists the change's record, and the caller passes
+// the time and the outcomes of ops to Tick.
 //
-// One record holds the list before and the list after, and its state says which is in force. It is saved whole at each step, so
-// a death at any point leaves the old list or the new one in force, never a mix.
+// One record holds the inventory files before and after the change, and its state tells which of them is active. The record is
+// saved atomically at each step, so that after a crash either the old list or the new one is active, never a mix.
 package change
 
 import (
@@ -16,42 +17,42 @@
 )
 
 const (
-	graceFor  = 500.0   // ms behind a change that don't count: ops that were out, and hosts that drain
-	trialFor  = 10000.0 // ms of trial: twice the time in which a bad change is to be undone
-	trialMost = 60000.0 // ms after which a trial ends also with few ops
-	opsLeast  = 20      // ops by which service is judged; of fewer each weighs too much
-	fallLeast = 0.05    // part of ops by which service has to fall
-	fallDevs  = 3.0     // deviations that chance brings, beside that: one calm trial in a thousand is undone
-	halfLife  = 10000.0 // ms in which what was seen before counts half: some bursts
+	gracePeriod       = 500.0   // ms after Apply that are not judged: earlier ops end, and removed hosts drain
+	trialDuration     = 10000.0 // ms after Apply until a change is confirmed, given minOps ops
+	maxTrialDuration  = 60000.0 // ms after Apply until a change is confirmed, however few ops there were
+	minOps            = 20      // ops needed to judge a success rate
+	minDrop           = 0.05    // smallest drop of the success rate that undoes a change
+	minDropDeviations = 3.0     // the drop must also exceed this many standard deviations of the sampling noise
+	baselineHalfLife  = 10000.0 // ms after which an op counts half in the baseline
 )
 
-// State of a change.
+// State is the state of a change.
 type State string
 
 const (
-	None      State = ""          // there has never been one
-	Staged    State = "staged"    // checked and kept; the list before is in force
-	Applied   State = "applied"   // the new list is in force, on trial
-	Confirmed State = "confirmed" // the new list is in force for good
-	Undone    State = "undone"    // the list before is in force again
+	None      State = ""          // there has been no change yet
+	Staged    State = "staged"    // validated and saved; the old list is active
+	Applied   State = "applied"   // the new list is active, on trial
+	Confirmed State = "confirmed" // the new list is active for good
+	Undone    State = "undone"    // the old list is active
 )
 
-// Record is a change as it is kept.
+// Record is the persisted form of a change. Changes are numbered from 1.
 type Record struct {
 	Number int    `json:"number"`
 	State  State  `json:"state"`
-	Reason string `json:"why,omitempty"` // of its end
+	Reason string `json:"why,omitempty"` // why the change was confirmed or undone
 	Before File   `json:"before"`
 	After  File   `json:"after"`
 }
 
-// File is an inventory file's text, with its name for faults and form.
+// File is the text of an inventory file. Its name is used in errors, and the extension selects the format.
 type File struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
 }
 
-// ActiveFile is the file whose list is in force.
+// ActiveFile returns the file whose list is active.
 func (r Record) ActiveFile() File {
 	if r.State == Applied || r.State == Confirmed {
 		return r.After
@@ -59,161 +60,173 @@
 	return r.Before
 }
 
-// Store keeps one record. Save keeps it whole or, with an error, not at all. Load gives nil where there is none.
+// Store persists one record. Save replaces the record atomically, or returns an error and leaves the earlier one in place. Load
+// returns nil if there is no record.
 type Store interface {
 	Save(record []byte) error
 	Load() ([]byte, error)
 }
 
-// ErrInProgress is the error of a change proposed while another is open.
-var ErrInProgress = errors.New("another change is under way")
+// ErrInProgress is returned by Propose while another change is staged or on trial.
+var ErrInProgress = errors.New("another change is in progress")
 
-var errNone = errors.New("no change is under way")
+// errNoChange is returned if no change is in a state that allows the call.
+var errNoChange = errors.New("no change is in progress")
 
-// Manager are an installation's changes, the latest of which is open or over.
+// Manager handles the inventory changes of one installation. It is not safe for concurrent use.
 type Manager struct {
-	store   Store
-	record  Record
-	hosts   []inventory.Host // in force
-	share   meter            // of service before the change
-	trial   meter            // and in its trial
-	applied float64          // ms
-	ticked  float64          // ms
+	store     Store
+	record    Record
+	hosts     []inventory.Host // the active list
+	baseline  outcomeCounts    // before the change, decaying with baselineHalfLife
+	trial     outcomeCounts    // during the trial
+	appliedAt float64          // ms
+	lastTick  float64          // ms
 }
 
-// meter counts how ops ended.
-type meter struct{ acked, ended float64 }
+// outcomeCounts counts the ops that ended, and those of them that were acked.
+type outcomeCounts struct{ acked, ended float64 }
 
-func (m meter) share() float64 { return m.acked / math.Max(m.ended, 1) }
+// successRate returns the fraction of ops that were acked; 0 if none ended.
+func (o outcomeCounts) successRate() float64 { return o.acked / math.Max(o.ended, 1) }
 
-// Open takes up what the store holds, or begins with a file where it holds nothing. A change whose trial a death cut short is
-// undone: nobody knows how it went.
-func Open(store Store, first File) (*Manager, error) {
-	c := &Manager{store: store}
+// Open restores the state from the store, or starts with the file initial if the store is empty. A change that was staged or on
+// trial is undone, as its outcome is unknown. Open returns errors of the store, of a record that cannot be decoded, and of an
+// active file that cannot be parsed.
+func Open(store Store, initial File) (*Manager, error) {
+	m := &Manager{store: store}
 	raw, err := store.Load()
 	if err != nil {
 		return nil, err
 	}
-	c.record.Before = first
+	m.record.Before = initial
 	if raw != nil {
-		if err := json.Unmarshal(raw, &c.record); err != nil {
-			return nil, fmt.Errorf("the record of changes: %w", err)
+		if err := json.Unmarshal(raw, &m.record); err != nil {
+			return nil, fmt.Errorf("decode the change record: %w", err)
 		}
 	}
-	if err := c.read(); err != nil {
+	if err := m.loadHosts(); err != nil {
 		return nil, err
 	}
-	if c.open() {
-		return c, c.end(Undone, "the balancer ended before it was confirmed")
+	if m.isOpen() {
+		return m, m.finish(Undone, "the balancer ended before it was confirmed")
 	}
-	return c, nil
+	return m, nil
 }
 
-// read makes the list that is in force of its text.
-func (c *Manager) read() (err error) {
-	f := c.record.ActiveFile()
-	c.hosts, err = inventory.Parse(f.Name, []byte(f.Text))
+// loadHosts parses the active file and replaces the list of hosts.
+func (m *Manager) loadHosts() (err error) {
+	f := m.record.ActiveFile()
+	m.hosts, err = inventory.Parse(f.Name, []byte(f.Text))
 	return err
 }
 
-// move is the one place where a change changes its state: it is kept first, and counts from then on.
-func (c *Manager) move(r Record) error {
+// transition is the only place where the record changes. The new record takes effect only after it has been saved; after an
+// error the old one remains.
+func (m *Manager) transition(r Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	if err := c.store.Save(raw); err != nil {
-		return fmt.Errorf("the change stays %q: %w", c.record.State, err)
+	if err := m.store.Save(raw); err != nil {
+		return fmt.Errorf("save the change record (state remains %q): %w", m.record.State, err)
 	}
-	c.record = r
+	m.record = r
 	return nil
 }
 
-func (c *Manager) open() bool { return c.record.State == Staged || c.record.State == Applied }
+// isOpen reports whether the current change is staged or on trial.
+func (m *Manager) isOpen() bool { return m.record.State == Staged || m.record.State == Applied }
 
-// Status is the latest change.
-func (c *Manager) Status() Record { return c.record }
+// Status returns the record of the latest change.
+func (m *Manager) Status() Record { return m.record }
 
-// Hosts is the list in force.
-func (c *Manager) Hosts() []inventory.Host { return c.hosts }
+// Hosts returns the active list.
+func (m *Manager) Hosts() []inventory.Host { return m.hosts }
 
-// Propose checks a file and stages its list. It returns what would change.
-func (c *Manager) Propose(f File) ([]inventory.Change, error) {
-	if c.open() {
-		return nil, fmt.Errorf("%w: number %d is %s", ErrInProgress, c.record.Number, c.record.State)
+// Propose parses a file, stages it as a new change, and returns the differences from the active list. It fails with
+// ErrInProgress while a change is staged or on trial, with inventory.FileErrors if the file is invalid, and also if the file
+// changes nothing or the record cannot be saved.
+func (m *Manager) Propose(file File) ([]inventory.Change, error) {
+	if m.isOpen() {
+		return nil, fmt.Errorf("%w: change %d is %s", ErrInProgress, m.record.Number, m.record.State)
 	}
-	hosts, err := inventory.Parse(f.Name, []byte(f.Text))
+	hosts, err := inventory.Parse(file.Name, []byte(file.Text))
 	if err != nil {
 		return nil, err
 	}
-	diff := inventory.Diff(c.hosts, hosts)
+	diff := inventory.Diff(m.hosts, hosts)
 	if len(diff) == 0 {
-		return nil, errors.New("it changes nothing")
+		return nil, errors.New("the file does not change the inventory")
 	}
-	return diff, c.move(Record{Number: c.record.Number + 1, State: Staged, Before: c.record.ActiveFile(), After: f})
+	return diff, m.transition(Record{Number: m.record.Number + 1, State: Staged, Before: m.record.ActiveFile(), After: file})
 }
 
-// Apply puts the staged list in force, on trial from now on.
-func (c *Manager) Apply(now float64) error {
-	if c.record.State != Staged {
-		return errNone
+// Apply makes the staged list active and starts its trial; now is the time in milliseconds, on the same clock as for Tick.
+// It fails if no change is staged or the record cannot be saved.
+func (m *Manager) Apply(now float64) error {
+	if m.record.State != Staged {
+		return errNoChange
 	}
-	r := c.record
+	r := m.record
 	r.State = Applied
-	if err := c.move(r); err != nil {
+	if err := m.transition(r); err != nil {
 		return err
 	}
-	c.applied, c.trial = now, meter{}
-	return c.read()
+	m.appliedAt, m.trial = now, outcomeCounts{}
+	return m.loadHosts()
 }
 
-// Undo ends a change that is staged or on trial; the list before is in force.
-func (c *Manager) Undo(why string) error {
-	if !c.open() {
-		return errNone
+// Undo ends a change that is staged or on trial, and makes the old list active. The reason is kept in the record. It fails if
+// there is no such change or the record cannot be saved.
+func (m *Manager) Undo(reason string) error {
+	if !m.isOpen() {
+		return errNoChange
 	}
-	return c.end(Undone, why)
+	return m.finish(Undone, reason)
 }
 
-// end ends the change.
-func (c *Manager) end(to State, why string) error {
-	r := c.record
-	r.State, r.Reason = to, why
-	if err := c.move(r); err != nil {
+// finish saves the final state of the change with the reason, and loads the list that is active then.
+func (m *Manager) finish(state State, reason string) error {
+	r := m.record
+	r.State, r.Reason = state, reason
+	if err := m.transition(r); err != nil {
 		return err
 	}
-	return c.read()
+	return m.loadHosts()
 }
 
-// Tick is told the time, and how many ops were acked and how many ended since the last call. A trial ends here: the list in force
-// may be another afterwards.
-func (c *Manager) Tick(now float64, acked, ended int) error {
-	span := now - c.ticked
-	c.ticked = now
-	if c.record.State != Applied {
-		keep := math.Exp2(-span / halfLife)
-		c.share = meter{c.share.acked*keep + float64(acked), c.share.ended*keep + float64(ended)}
+// Tick takes the current time in milliseconds, and the numbers of ops that were acked and that ended in any way since the last
+// call. It confirms or undoes a change on trial, so Hosts may return another list afterwards. It fails if the record cannot be
+// saved.
+func (m *Manager) Tick(now float64, acked, ended int) error {
+	elapsed := now - m.lastTick
+	m.lastTick = now
+	if m.record.State != Applied {
+		decay := math.Exp2(-elapsed / baselineHalfLife)
+		m.baseline = outcomeCounts{m.baseline.acked*decay + float64(acked), m.baseline.ended*decay + float64(ended)}
 		return nil
 	}
-	if now < c.applied+graceFor {
+	if now < m.appliedAt+gracePeriod {
 		return nil
 	}
-	c.trial.acked += float64(acked)
-	c.trial.ended += float64(ended)
-	enough := c.trial.ended >= opsLeast
+	m.trial.acked += float64(acked)
+	m.trial.ended += float64(ended)
+	enoughOps := m.trial.ended >= minOps
 	switch {
-	case enough && c.share.ended >= opsLeast && c.share.share()-c.trial.share() > c.noise():
-		return c.end(Undone, fmt.Sprintf("service fell from %.3f to %.3f", c.share.share(), c.trial.share()))
-	case enough && now >= c.applied+trialFor, now >= c.applied+trialMost:
-		before := c.share
-		c.share = meter{before.acked + c.trial.acked, before.ended + c.trial.ended}
-		return c.end(Confirmed, fmt.Sprintf("service went from %.3f to %.3f", before.share(), c.trial.share()))
+	case enoughOps && m.baseline.ended >= minOps && m.baseline.successRate()-m.trial.successRate() > m.tolerance():
+		return m.finish(Undone, fmt.Sprintf("service fell from %.3f to %.3f", m.baseline.successRate(), m.trial.successRate()))
+	case enoughOps && now >= m.appliedAt+trialDuration, now >= m.appliedAt+maxTrialDuration:
+		baseline := m.baseline
+		m.baseline = outcomeCounts{baseline.acked + m.trial.acked, baseline.ended + m.trial.ended}
+		return m.finish(Confirmed, fmt.Sprintf("service went from %.3f to %.3f", baseline.successRate(), m.trial.successRate()))
 	}
 	return nil
 }
 
-// noise is by how much service may fall before the change is blamed.
-func (c *Manager) noise() float64 {
-	p := (c.share.acked + c.trial.acked) / (c.share.ended + c.trial.ended)
-	return math.Max(fallLeast, fallDevs*math.Sqrt(p*(1-p)*(1/c.share.ended+1/c.trial.ended)))
+// tolerance returns the largest drop of the success rate during a trial that is not blamed on the change: minDrop, or
+// minDropDeviations standard deviations of the difference of the two rates if that is more.
+func (m *Manager) tolerance() float64 {
+	p := (m.baseline.acked + m.trial.acked) / (m.baseline.ended + m.trial.ended)
+	return math.Max(minDrop, minDropDeviations*math.Sqrt(p*(1-p)*(1/m.baseline.ended+1/m.trial.ended)))
 }
--- a/internal/change/directory_store.go
+++ b/internal/change/directory_store.go
@@ -10,10 +10,10 @@
 
 const recordName = "change.json"
 
-// DirectoryStore keeps the record in a directory of the file system.
+// DirectoryStore is the Store that keeps the record in the file change.json of a directory, whose path is the value.
 type DirectoryStore string
 
-// Load implements Store.
+// Load implements Store. It returns nil if the file does not exist.
 func (d DirectoryStore) Load() ([]byte, error) {
 	raw, err := machine.LocalFileSystem().ReadFile(d.path())
 	if errors.Is(err, fs.ErrNotExist) {
@@ -22,7 +22,7 @@
 	return raw, err
 }
 
-// Save implements Store.
+// Save implements Store. It replaces the file atomically.
 func (d DirectoryStore) Save(record []byte) error {
 	return machine.WriteFileAtomic(machine.LocalFileSystem(), string(d), d.path(), record)
 }
