--- a/internal/inventory/forms.go
+++ b/internal/inventory/forms.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	nodesMost = 10 * hostsMost // values of a YAML file looked at, aliases followed: a few a host, and room
-	mergeMost = 8              // merges inside each other: two are usual
+	maxNodes      = 10 * maxHosts // YAML values visited, each followed alias counted again
+	maxMergeDepth = 8             // nested merge keys
 )
 
-// csv reads rows: a line that names the columns, in any order, then a line a host. Lines that start with # are left out.
-func (r *reader) csv(text []byte) {
+// parseCSV appends the rows of a CSV file: a header that names the columns in any order, then one line per host. Lines that
+// start with # are comments. It records an error for each faulty line and stops at a syntax error or a faulty header.
+func (p *parser) parseCSV(text []byte) {
 	c := csv.NewReader(bytes.NewReader(text))
 	c.FieldsPerRecord, c.TrimLeadingSpace, c.Comment = -1, true, '#'
 	var columns []string
@@ -29,10 +30,10 @@
 		}
 		if err != nil {
 			line := 0
-			if p := (*csv.ParseError)(nil); errors.As(err, &p) {
-				line, err = p.StartLine, p.Err
+			if parseErr := (*csv.ParseError)(nil); errors.As(err, &parseErr) {
+				line, err = parseErr.StartLine, parseErr.Err
 			}
-			r.fault(line, "%v", err)
+			p.errorf(line, "%v", err)
 			return
 		}
 		line, _ := c.FieldPos(0)
@@ -41,145 +42,151 @@
 		}
 		switch {
 		case columns == nil:
-			if columns = values; !r.columns(line, columns) {
+			if columns = values; !p.checkColumns(line, columns) {
 				return
 			}
 		case len(values) != len(columns):
-			r.fault(line, "%d fields, want %d", len(values), len(columns))
+			p.errorf(line, "%d fields, want %d", len(values), len(columns))
 		default:
-			w := row{line, map[string]string{}}
+			r := row{line, map[string]string{}}
 			for i, v := range values {
-				w.values[columns[i]] = v
+				r.values[columns[i]] = v
 			}
-			r.rows = append(r.rows, w)
+			p.rows = append(p.rows, r)
 		}
 	}
 }
 
-// columns checks the line that names the columns.
-func (r *reader) columns(line int, names []string) bool {
-	before := len(r.faults)
+// checkColumns changes the header's names to lower case and records an error for each unknown, repeated or missing column. It
+// reports whether there was none.
+func (p *parser) checkColumns(line int, names []string) bool {
+	before := len(p.errs)
 	for i, n := range names {
 		names[i] = strings.ToLower(n)
-		r.field(line, names[i])
+		p.checkField(line, names[i])
 		if slices.Contains(names[:i], names[i]) {
-			r.fault(line, "column %q stands twice", names[i])
+			p.errorf(line, "duplicate column %q", names[i])
 		}
 	}
 	for _, n := range []string{"id", "address"} {
 		if !slices.Contains(names, n) {
-			r.fault(line, "column %q is missing", n)
+			p.errorf(line, "column %q is missing", n)
 		}
 	}
-	return len(r.faults) == before
+	return len(p.errs) == before
 }
 
-// field checks that a field is known: one with a slip in its name would go unheeded.
-func (r *reader) field(line int, name string) {
+// checkField records an error if the field is unknown; a misspelled name would otherwise be ignored.
+func (p *parser) checkField(line int, name string) {
 	if !slices.Contains(fields, name) {
-		r.fault(line, "unknown field %.40q, want %s", name, strings.Join(fields, ", "))
+		p.errorf(line, "unknown field %.40q, want %s", name, strings.Join(fields, ", "))
 	}
 }
 
-// tree walks a YAML document; aliases count each time they are followed, so that a small file can't stand for a huge one.
-type tree struct {
-	*reader
-	left int
+// yamlWalker walks a YAML document and limits the number of visited values. An alias counts each time it is followed, so that a
+// small file cannot expand into a huge one.
+type yamlWalker struct {
+	*parser
+	nodesLeft int
 }
 
-// yaml reads rows: a mapping with the key hosts, a list of mappings. Keys that begin with x- may hold what is merged in.
-func (r *reader) yaml(text []byte) {
+// parseYAML appends the rows of a YAML file: a mapping whose key hosts is a list of mappings. Other keys have to begin with x-;
+// they hold anchors to merge into hosts. It records an error for each fault and stops at a syntax error.
+func (p *parser) parseYAML(text []byte) {
 	d := yaml.NewDecoder(bytes.NewReader(text))
-	var doc, more yaml.Node
+	var doc, extra yaml.Node
 	if err := d.Decode(&doc); err != nil {
 		line, text := 0, strings.TrimPrefix(err.Error(), "yaml: ")
 		if n, _ := fmt.Sscanf(text, "line %d: ", &line); n > 0 {
 			_, text, _ = strings.Cut(text, ": ")
 		}
-		r.fault(line, "%s", text)
+		p.errorf(line, "%s", text)
 		return
 	}
-	if err := d.Decode(&more); err != io.EOF {
-		r.fault(more.Line, "more than one document")
+	if err := d.Decode(&extra); err != io.EOF {
+		p.errorf(extra.Line, "more than one document")
 		return
 	}
-	t := &tree{r, nodesMost}
+	w := &yamlWalker{p, maxNodes}
 	root := doc.Content[0]
 	if root.Kind != yaml.MappingNode {
-		r.fault(root.Line, "want a mapping with the key hosts")
+		p.errorf(root.Line, "want a mapping with the key hosts")
 		return
 	}
 	found := false
 	for i := 0; i < len(root.Content); i += 2 {
-		key, value := root.Content[i], t.follow(root.Content[i+1])
+		key, value := root.Content[i], w.resolve(root.Content[i+1])
 		switch {
 		case key.Value == "hosts" && found:
-			r.fault(key.Line, "hosts: stands twice")
+			p.errorf(key.Line, "hosts: duplicate key")
 		case key.Value == "hosts" && (value == nil || value.Kind != yaml.SequenceNode):
-			r.fault(key.Line, "hosts: want a list")
+			p.errorf(key.Line, "hosts: want a list")
 			found = true
 		case key.Value == "hosts":
 			found = true
 			for _, n := range value.Content {
-				t.row(n)
+				w.addRow(n)
 			}
 		case !strings.HasPrefix(key.Value, "x-"):
-			r.fault(key.Line, "unknown key %.40q, want hosts, or names that begin with x-", key.Value)
+			p.errorf(key.Line, "unknown key %.40q, want hosts or a key that begins with x-", key.Value)
 		}
 	}
 	if !found {
-		r.fault(root.Line, "hosts: missing")
+		p.errorf(root.Line, "hosts: missing")
 	}
 }
 
-// follow is what a node stands for; nil once the file has been followed too far.
-func (t *tree) follow(n *yaml.Node) *yaml.Node {
+// resolve follows aliases and returns the node that n stands for. It returns nil once more than maxNodes values have been
+// visited, and records an error the first time.
+func (w *yamlWalker) resolve(n *yaml.Node) *yaml.Node {
 	for n != nil && n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
-	if t.left--; t.left < 0 {
-		if t.left == -1 {
-			t.fault(n.Line, "more than %d values, aliases followed", nodesMost)
+	if w.nodesLeft--; w.nodesLeft < 0 {
+		if w.nodesLeft == -1 {
+			w.errorf(n.Line, "more than %d values with aliases followed", maxNodes)
 		}
 		return nil
 	}
 	return n
 }
 
-// row takes one host.
-func (t *tree) row(n *yaml.Node) {
+// addRow appends the row of one host, unless its node is faulty.
+func (w *yamlWalker) addRow(n *yaml.Node) {
 	line := n.Line
-	w := row{line, map[string]string{}}
-	if t.mapping(n, line, w.values, mergeMost) {
-		t.rows = append(t.rows, w)
+	r := row{line, map[string]string{}}
+	if w.collectFields(n, line, r.values, maxMergeDepth) {
+		w.rows = append(w.rows, r)
 	}
 }
 
-// mapping takes the fields of a mapping, then those merged in that it does not have itself.
-func (t *tree) mapping(n *yaml.Node, line int, values map[string]string, deep int) bool {
-	if n = t.follow(n); n == nil {
+// collectFields adds the fields of the mapping n to values, then those of its merge keys; a field that is set already is
+// kept. depth is how many more levels of merges are allowed. Errors about the mapping itself name the given line. It reports
+// whether there was no error.
+func (w *yamlWalker) collectFields(n *yaml.Node, line int, values map[string]string, depth int) bool {
+	if n = w.resolve(n); n == nil {
 		return false
 	}
-	if n.Kind != yaml.MappingNode || deep == 0 {
-		t.fault(line, "want a mapping with the fields %s", strings.Join(fields, ", "))
+	if n.Kind != yaml.MappingNode || depth == 0 {
+		w.errorf(line, "want a mapping with the fields %s", strings.Join(fields, ", "))
 		return false
 	}
-	good := true
+	ok := true
 	own := map[string]bool{}
 	for i := 0; i < len(n.Content); i += 2 {
-		key, value := n.Content[i], t.follow(n.Content[i+1])
+		key, value := n.Content[i], w.resolve(n.Content[i+1])
 		switch {
 		case value == nil:
 			return false
 		case key.Tag == "!!merge":
 		case own[key.Value]:
-			t.fault(key.Line, "%s: stands twice", key.Value)
-			good = false
+			w.errorf(key.Line, "%s: duplicate key", key.Value)
+			ok = false
 		case value.Kind != yaml.ScalarNode:
-			t.fault(key.Line, "%s: want one value", key.Value)
-			good = false
+			w.errorf(key.Line, "%s: want a single value", key.Value)
+			ok = false
 		default:
-			t.field(key.Line, key.Value)
+			w.checkField(key.Line, key.Value)
 			own[key.Value] = true
 			if _, set := values[key.Value]; !set && value.Tag != "!!null" {
 				values[key.Value] = strings.TrimSpace(value.Value)
@@ -190,7 +197,7 @@
 		if n.Content[i].Tag != "!!merge" {
 			continue
 		}
-		from := t.follow(n.Content[i+1])
+		from := w.resolve(n.Content[i+1])
 		if from == nil {
 			return false
 		}
@@ -199,8 +206,8 @@
 			parts = from.Content
 		}
 		for _, p := range parts {
-			good = t.mapping(p, line, values, deep-1) && good
+			ok = w.collectFields(p, line, values, depth-1) && ok
 		}
 	}
-	return good
+	return ok
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -11,29 +11,31 @@
 	"larchthread/balance"
 )
 
-// show reads a text and prints what comes of it.
-func show(name, text string) {
+// printHosts parses a text and prints the hosts or the errors.
+func printHosts(name, text string) {
 	hosts, err := Parse(name, []byte(text))
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	for _, h := range hosts {
-		fmt.Println(h.ID, h.rest(), "from line", h.Line)
+		fmt.Println(h.ID, h.attributes(), "from line", h.Line)
 	}
 }
 
-// Columns come in any order and some may be missing; quotes, a byte-order mark, mixed line endings and notes do no harm.
+// CSV columns come in any order, optional ones may be missing; quotes, a byte-order mark, mixed line endings and comments
+// are accepted.
 func ExampleParse_csv() {
-	show("a.csv", "\ufeffKind,address,id,weight\r\n# the first site\nfull, 10.0.0.2:11211 ,b,\"1.5\"\rsmall,[::1]:11211,\"a\",\n")
+	printHosts("a.csv",
+		"\ufeffKind,address,id,weight\r\n# the first site\nfull, 10.0.0.2:11211 ,b,\"1.5\"\rsmall,[::1]:11211,\"a\",\n")
 	// Output:
 	// a [::1]:11211  small 1 from line 4
 	// b 10.0.0.2:11211  full 1.5 from line 3
 }
 
-// Anchors and merges are followed; what a host says itself goes before what is merged in.
+// YAML anchors and merge keys are followed; a host's own fields take precedence over merged ones.
 func ExampleParse_yaml() {
-	show("a.yaml", `
+	printHosts("a.yaml", `
 x-usual: &usual {zone: nashua, kind: full, weight: 2}
 hosts:
   - {<<: *usual, id: b, address: "10.0.0.2:11211"}
@@ -47,57 +49,57 @@
 	// b 10.0.0.2:11211 nashua full 2 from line 4
 }
 
-// Whatever is wrong, the file is refused whole, and each line at fault is named.
+// A file with errors is rejected as a whole, with an error for each faulty line.
 func ExampleParse_refused() {
 	for _, text := range []string{"", "id,address\n", "id,zone\na,z\n", "id,address,adress,id\n", "id,address\na,10.0.0.1:1,z\nb\n",
 		"id,address,weight\na,10.0.0.1:1,0\nb,10.0.0.1:1,1e9\na,cache3.nashua.example.org:1,NaN\n,10.0.0.2:0,\n",
 		"id,address\na,10.0.0.1:1\na,10.0.0.1:1\n", "id,address\n\"a,10.0.0.1:1\n", "id,address,zone\na,10.0.0.1:1,a\x00b\n"} {
-		show("f.csv", text)
+		printHosts("f.csv", text)
 	}
 	for _, text := range []string{"- a\n", "hosts: 3\n", "hosts: []\n", "host: []\n", "hosts:\n  - id: a\n    adress: b\n", "hosts: [3]\n",
 		"hosts:\n  - {id: a, id: b, address: [1]}\n", "hosts: [\n", "a: &a [*a]\n", "hosts: []\n---\nhosts: []\n", "hosts: *b\n",
 		"x-a: &a {<<: *a}\nhosts:\n - *a\n"} {
-		show("f.yml", text)
+		printHosts("f.yml", text)
 	}
-	show("f.json", "{}")
+	printHosts("f.json", "{}")
 	// Output:
 	// f.csv: empty
 	// f.csv: no hosts
 	// f.csv:1: column "address" is missing
 	// f.csv:1: unknown field "adress", want id, address, zone, kind, weight
-	// f.csv:1: column "id" stands twice
+	// f.csv:1: duplicate column "id"
 	// f.csv:2: 3 fields, want 2
 	// f.csv:3: 1 fields, want 2
-	// f.csv:2: weight: "0", want a number above 0, 1000 at the most
-	// f.csv:3: weight: "1e9", want a number above 0, 1000 at the most
+	// f.csv:2: weight: "0", want a number above 0 and at most 1000
+	// f.csv:3: weight: "1e9", want a number above 0 and at most 1000
 	// f.csv:4: address: "cache3.nashua.example.org:1", want an IP address with a port
-	// f.csv:4: weight: "NaN", want a number above 0, 1000 at the most
+	// f.csv:4: weight: "NaN", want a number above 0 and at most 1000
 	// f.csv:5: id: missing
 	// f.csv:5: address: "10.0.0.2:0", want an IP address with a port
-	// f.csv:3: id: "a" stands in line 2 already
-	// f.csv:3: address: 10.0.0.1:1 stands in line 2 already
+	// f.csv:3: id: "a" is already used in line 2
+	// f.csv:3: address: 10.0.0.1:1 is already used in line 2
 	// f.csv:2: extraneous or missing " in quoted-field
-	// f.csv:2: zone: "a\x00b", want 128 bytes at the most and no blanks
+	// f.csv:2: zone: "a\x00b", want at most 128 printable bytes without spaces
 	// f.yml:1: want a mapping with the key hosts
 	// f.yml:1: hosts: want a list
 	// f.yml: no hosts
-	// f.yml:1: unknown key "host", want hosts, or names that begin with x-
+	// f.yml:1: unknown key "host", want hosts or a key that begins with x-
 	// f.yml:1: hosts: missing
 	// f.yml:2: address: missing
 	// f.yml:3: unknown field "adress", want id, address, zone, kind, weight
 	// f.yml:1: want a mapping with the fields id, address, zone, kind, weight
-	// f.yml:2: id: stands twice
-	// f.yml:2: address: want one value
+	// f.yml:2: id: duplicate key
+	// f.yml:2: address: want a single value
 	// f.yml:1: did not find expected node content
-	// f.yml:1: unknown key "a", want hosts, or names that begin with x-
+	// f.yml:1: unknown key "a", want hosts or a key that begins with x-
 	// f.yml:1: hosts: missing
 	// f.yml:2: more than one document
 	// f.yml: unknown anchor 'b' referenced
 	// f.yml:3: want a mapping with the fields id, address, zone, kind, weight
-	// f.json:1: the last line has no end: the file may be cut off
+	// f.json:1: no newline at the end: the file may be truncated
 }
 
-// A small file whose aliases stand for millions of hosts is refused in good time.
+// A small file whose aliases expand to millions of hosts is rejected quickly.
 func ExampleParse_bomb() {
 	text := "x-0: &a0 {id: a, address: '10.0.0.1:1'}\n"
 	for i := range 9 {
@@ -106,13 +108,13 @@
 	_, err := Parse("f.yaml", []byte(text+"hosts: [*a9]\n"))
 	fmt.Println(len(err.Error()) < 4000, strings.Contains(err.Error(), "f.yaml:"))
 	_, err = Parse("f.yaml", []byte(text[:strings.Index(text, "x-7")]+"hosts: ["+strings.Repeat("*a6,", 9)+"*a6]\n"))
-	fmt.Println(strings.Contains(err.Error(), "aliases followed"))
+	fmt.Println(strings.Contains(err.Error(), "values with aliases followed"))
 	// Output:
 	// true true
 	// true
 }
 
-// What a change changes, host by host.
+// Diff reports added, removed and changed hosts, but not a changed order or format.
 func ExampleDiff() {
 	old, _ := Parse("f.csv", []byte("id,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\n"))
 	new, _ := Parse("f.yaml", []byte("hosts:\n- {id: c, address: '10.0.0.3:1', weight: 2}\n- {id: d, address: '10.0.0.4:1'}\n- {id: a, address: '10.0.0.1:1'}\n"))
@@ -127,32 +129,32 @@
 	// 0
 }
 
-// port notes where ops go.
-type port struct{ went []string }
+// recordingPort records the target of each op.
+type recordingPort struct{ routed []string }
 
-func (p *port) Push(b *balance.Push, _ float64) { p.went = append(p.went, b.Host.Name) }
-func (p *port) Cancel(*balance.Push)            {}
-func (p *port) Nack(*balance.Op, float64)       { p.went = append(p.went, "nack") }
-func (p *port) DeadLetter(*balance.Op)          { p.went = append(p.went, "dead letter") }
-func (p *port) SetTimer(float64)                {}
-func (p *port) SubscribeHostList()              {}
-func (p *port) CloseIdleConns(*balance.Host)    {}
+func (p *recordingPort) Push(b *balance.Push, _ float64) { p.routed = append(p.routed, b.Host.Name) }
+func (p *recordingPort) Cancel(*balance.Push)            {}
+func (p *recordingPort) Nack(*balance.Op, float64)       { p.routed = append(p.routed, "nack") }
+func (p *recordingPort) DeadLetter(*balance.Op)          { p.routed = append(p.routed, "dead letter") }
+func (p *recordingPort) SetTimer(float64)                {}
+func (p *recordingPort) SubscribeHostList()              {}
+func (p *recordingPort) CloseIdleConns(*balance.Host)    {}
 
-// The same fleet in both forms routes alike, key by key.
+// The same fleet gives the same routing decisions whether it is read from CSV or from YAML.
 func Example_routesAlike() {
 	csv, yml := "weight,id,address\n", "hosts:\n"
 	for i := range 30 {
 		csv += fmt.Sprintf("%d,cache%d,10.0.0.%d:11211\n", 1+i%3, i, i+1)
 		yml = fmt.Sprintf("%s- {address: 10.0.0.%d:11211, weight: %d, id: cache%d}\n", yml, 30-i, 1+(29-i)%3, 29-i)
 	}
-	var went [2][]string
+	var routed [2][]string
 	for i, file := range []struct{ name, text string }{{"f.csv", csv}, {"f.yml", yml}} {
 		hosts, err := Parse(file.name, []byte(file.text))
 		if err != nil {
 			fmt.Println(err)
 			return
 		}
-		p := &port{}
+		p := &recordingPort{}
 		read := &balance.Category{Target: 100, Benefit: 1, LateBenefit: 0.5}
 		b := balance.New(balance.Config{Seed: 1, Categories: []*balance.Category{read}, GroupSize: 1, MaxPushes: 3, ConnIdleTimeout: 1000}, p, 0)
 		var entries []balance.HostEntry
@@ -162,19 +164,19 @@
 		b.HostsListed(entries, true, false)
 		for k := range 5000 {
 			op := &balance.Op{Category: read, Key: fmt.Sprint("key", k), Deadline: 500}
-			n := len(p.went)
-			if b.OpArrived(op); k%200 != 0 && len(p.went) > n { // some stay out, so that hosts fill
+			n := len(p.routed)
+			if b.OpArrived(op); k%200 != 0 && len(p.routed) > n { // some stay in flight, so that hosts fill up
 				b.ClientLeft(op)
 			}
 		}
-		went[i] = p.went
+		routed[i] = p.routed
 	}
-	fmt.Println(len(went[0]) >= 5000, reflect.DeepEqual(went[0], went[1]))
+	fmt.Println(len(routed[0]) >= 5000, reflect.DeepEqual(routed[0], routed[1]))
 	// Output:
 	// false true
 }
 
-// Whatever the text, it is read or refused without a panic, and what is read is whole.
+// Parse never panics, and returns either errors or a sorted list of valid hosts.
 func FuzzParse(f *testing.F) {
 	for _, form := range []string{".csv", ".yaml"} {
 		f.Add(form, "id,address,zone\na,10.0.0.1:1,z\n")
@@ -212,7 +214,7 @@
 	}
 }
 
-// A file of the deployment's is read from a directory as it stands there.
+// Load reads a file by its path; a missing file is reported as FileErrors.
 func ExampleLoad() {
 	path := filepath.Join(os.TempDir(), fmt.Sprint("fleet-", os.Getpid(), ".csv"))
 	defer os.Remove(path)
--- a/internal/inventory/many_test.go
+++ b/internal/inventory/many_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// A file of 1,024 hosts, or more, is read whole in either form, and one change in it is found.
+// Large files give the same hosts in both formats, and Diff finds a single change in them.
 func TestManyHosts(t *testing.T) {
 	for _, n := range []int{1024, 5000} {
-		asCSV, asYAML := manyRows(n, -1)
+		asCSV, asYAML := inventoryText(n, -1)
 		fromCSV, err := Parse("fleet.csv", []byte(asCSV))
 		if err != nil {
 			t.Fatalf("%.400s", err)
@@ -19,13 +19,13 @@
 		if err != nil {
 			t.Fatalf("%.400s", err)
 		}
-		for i := range fromYAML { // one line of head in CSV, two in YAML
+		for i := range fromYAML { // one header line in CSV, two in YAML
 			fromYAML[i].Line--
 		}
 		if len(fromCSV) != n || !reflect.DeepEqual(fromCSV, fromYAML) {
-			t.Fatalf("%d hosts of CSV, %d of YAML", len(fromCSV), len(fromYAML))
+			t.Fatalf("%d hosts from CSV, %d from YAML", len(fromCSV), len(fromYAML))
 		}
-		changed, _ := manyRows(n, n/2)
+		changed, _ := inventoryText(n, n/2)
 		after, err := Parse("fleet.csv", []byte(changed))
 		if err != nil {
 			t.Fatalf("%.400s", err)
@@ -36,14 +36,14 @@
 	}
 }
 
-// manyRows are the two forms of a file of so many hosts, of which one has twice the weight.
-func manyRows(n, heavy int) (asCSV, asYAML string) {
+// inventoryText returns a file of n hosts in both formats. The host with the index doubledHost has weight 2, the others 1.
+func inventoryText(n, doubledHost int) (asCSV, asYAML string) {
 	var c, y strings.Builder
 	c.WriteString("id,address,zone,kind,weight\n")
 	y.WriteString("x-usual: &usual {kind: full}\nhosts:\n")
 	for i := range n {
 		weight := 1
-		if i == heavy {
+		if i == doubledHost {
 			weight = 2
 		}
 		address := fmt.Sprintf("10.0.%d.%d:11211", i/250, i%250)
--- a/internal/inventory/watch.go
+++ b/internal/inventory/watch.go
@@ -5,60 +5,64 @@
 	"time"
 )
 
-// Watcher looks at a file now and then, and finds the lists that are put there. A file that is being written is left until
-// it has been still between two looks; one that can't be used is told of once.
+// Watcher detects changes of an inventory file by polling. A new state of the file is loaded once two successive polls have
+// found it unchanged, so that a file that is being written is left alone; an invalid state is reported once.
 type Watcher struct {
-	path         string
-	seen, judged stamp  // of the last look; of the state that was last taken or refused
-	list         []Host // last taken
+	path                    string
+	lastSeen, lastEvaluated fileState // at the last poll; when the file was last accepted or rejected
+	current                 []Host    // the last accepted list
 }
 
-// stamp tells two states of a file apart.
-type stamp struct {
-	there bool
-	size  int64
-	at    time.Time
-	file  os.FileInfo
+// fileState identifies a state of a file by its metadata.
+type fileState struct {
+	exists  bool
+	size    int64
+	modTime time.Time
+	info    os.FileInfo
 }
 
-func (s stamp) same(t stamp) bool {
-	return s.there == t.there && (!s.there || s.size == t.size && s.at.Equal(t.at) && os.SameFile(s.file, t.file))
+// equal reports whether both are the same state: the file is missing in both, or it is the same file with the same size and
+// modification time.
+func (s fileState) equal(t fileState) bool {
+	return s.exists == t.exists && (!s.exists || s.size == t.size && s.modTime.Equal(t.modTime) && os.SameFile(s.info, t.info))
 }
 
-func stampOf(path string) stamp {
+// statFile returns the current state of a file. A file that cannot be examined counts as missing.
+func statFile(path string) fileState {
 	f, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileState{}
 	}
-	return stamp{true, f.Size(), f.ModTime(), f}
+	return fileState{true, f.Size(), f.ModTime(), f}
 }
 
-// NewWatcher reads the file for the first time.
+// NewWatcher loads the file and returns its hosts and a watcher for later changes. If the file is invalid, it returns the error
+// (FileErrors) together with a usable watcher.
 func NewWatcher(path string) (*Watcher, []Host, error) {
-	w := &Watcher{path: path, seen: stampOf(path)}
-	w.judged = w.seen
+	w := &Watcher{path: path, lastSeen: statFile(path)}
+	w.lastEvaluated = w.lastSeen
 	hosts, err := Load(path)
-	w.list = hosts
+	w.current = hosts
 	return w, hosts, err
 }
 
-// Poll returns a list that differs from the last one, if there is one now, or why what is there can't be used. It returns neither
-// where nothing is new.
+// Poll checks the file once. It returns the hosts if the file has changed, was stable since the previous poll, and differs
+// from the last accepted list; an error (FileErrors) if the new state is invalid; and nil for both otherwise.
 func (w *Watcher) Poll() ([]Host, error) {
-	now := stampOf(w.path)
-	still := now.same(w.seen)
-	w.seen = now
-	if !still || now.same(w.judged) {
+	now := statFile(w.path)
+	stable := now.equal(w.lastSeen)
+	w.lastSeen = now
+	if !stable || now.equal(w.lastEvaluated) {
 		return nil, nil
 	}
 	hosts, err := Load(w.path)
-	if !stampOf(w.path).same(now) { // it changed while it was read
+	if !statFile(w.path).equal(now) { // changed while it was read
 		return nil, nil
 	}
-	w.judged = now
-	if err != nil || len(Diff(w.list, hosts)) == 0 {
+	w.lastEvaluated = now
+	if err != nil || len(Diff(w.current, hosts)) == 0 {
 		return nil, err
 	}
-	w.list = hosts
+	w.current = hosts
 	return hosts, nil
 }
