--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -7,8 +7,8 @@
 	"os"
 )
 
-// FreeAddress returns an address that nobody has, for a program that is to listen there later. It lies in this process's own
-// part of loopback: on the usual one a connection that is just being made may take the port first.
+// FreeAddress returns an unused loopback address on which a program can listen later. It uses an IP address of this process's
+// own, because an outgoing connection from 127.0.0.1 could take the port in the meantime.
 func FreeAddress() (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", ownLoopback()+":0")
 	if err != nil {
@@ -18,7 +18,7 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// ownLoopback is an address of loopback that other processes do not use.
+// ownLoopback returns a loopback IP address derived from the process id.
 func ownLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.2", pid>>8&255, pid&255)
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -9,67 +9,68 @@
 	"golang.org/x/sys/unix"
 )
 
-// Attempt is one command or HTTP request as a scripted host or origin received it, once its last byte had come.
+// Attempt is a command or HTTP request that a scripted host or origin has received completely.
 type Attempt struct {
-	Server       string        // name of the host or the origin
-	OpID         string        // id of the op
+	Server       string        // name of the host, or OriginID
+	OpID         string        // the op's id
 	Verb         string        // "mg" or "ms" at a host, the HTTP method at the origin
-	TimeLeft     time.Duration // for how long the client still waits, as the attempt tells it; 0 where that can't be read
-	TimeLeftText string        // the same as it was written
-	Attributes   string        // the whole list of names and values, with the time left masked as in notes
-	Repeat       bool          // the list has the mark of a client's repeat
+	TimeLeft     time.Duration // how long the client still waits, according to the attempt; 0 if missing or invalid
+	TimeLeftText string        // TimeLeft in milliseconds, as received
+	Attributes   string        // the list of names and values, with the time left masked as in notes
+	Repeat       bool          // the client has marked the op as a repeat
 	ReceivedAt   time.Time     // when the kernel received the last byte
 }
 
-// waited is what notes and attributes leave out, as it depends on the time: for how long a balancer waits.
-var waited = regexp.MustCompile(`d=[0-9.]+`)
+// timeLeftPattern matches the attribute with the time left, which varies between runs and is masked in notes and attributes.
+var timeLeftPattern = regexp.MustCompile(`d=[0-9.]+`)
 
-// repeatMark is the value of the attribute r of an op that its client sends once more.
-const repeatMark = "1"
+// repeatValue is the value of the attribute r that marks a repeated op.
+const repeatValue = "1"
 
-// newAttempt reads an attempt's list of attributes.
-func newAttempt(server, op, verb, attributes string, came time.Time) Attempt {
+// newAttempt returns an attempt with the given list of attributes, parsed.
+func newAttempt(server, opID, verb, attributes string, receivedAt time.Time) Attempt {
 	return Attempt{
 		Server:       server,
-		OpID:         op,
+		OpID:         opID,
 		Verb:         verb,
-		TimeLeft:     waits(attributes),
+		TimeLeft:     timeLeft(attributes),
 		TimeLeftText: attr(attributes, "d"),
-		Attributes:   waited.ReplaceAllString(attributes, "d=.."),
-		Repeat:       attr(attributes, "r") == repeatMark,
-		ReceivedAt:   came,
+		Attributes:   timeLeftPattern.ReplaceAllString(attributes, "d=.."),
+		Repeat:       attr(attributes, "r") == repeatValue,
+		ReceivedAt:   receivedAt,
 	}
 }
 
-// commandAttempt is the attempt that a meta command makes.
-func commandAttempt(server string, words []string, came time.Time) Attempt {
-	var op, attributes string
+// commandAttempt returns the attempt for a meta command, given as its words.
+func commandAttempt(server string, words []string, receivedAt time.Time) Attempt {
+	var opID, attributes string
 	for _, word := range words[2:] {
 		switch word[0] {
 		case 'O':
-			op = word[1:]
+			opID = word[1:]
 		case 'P':
 			attributes = word[1:]
 		}
 	}
-	return newAttempt(server, op, words[0], attributes, came)
+	return newAttempt(server, opID, words[0], attributes, receivedAt)
 }
 
-// Attempts are all attempts since the last call of Forget, in the order in which they came.
+// Attempts returns all attempts since the last call of TakeNotes, in the order of their arrival.
 func (s *ScriptedFleet) Attempts() []Attempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Attempt(nil), s.attempts...)
 }
 
-func (s *ScriptedFleet) attempted(a Attempt) {
+// addAttempt records an attempt.
+func (s *ScriptedFleet) addAttempt(a Attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts = append(s.attempts, a)
 }
 
-// lastReceived is when the kernel received the last byte that has come on a connection: a reader on a busy machine may be
-// later. Where the kernel does not tell it is now.
+// lastReceived returns when the kernel received the last data of a connection, which on a busy machine may be well before the
+// data is read. It returns the current time if the kernel does not tell.
 func lastReceived(c net.Conn) time.Time {
 	now := time.Now()
 	socket, ok := c.(syscall.Conn)
--- a/internal/standin/attempt_test.go
+++ b/internal/standin/attempt_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A scripted host and origin record what each attempt told, when its last byte had come, and its list as it stood.
+// Scripted hosts and origins record the attributes of each attempt and the time of its last byte.
 func TestAttempts(t *testing.T) {
 	s := &ScriptedFleet{}
 	defer s.Close()
@@ -26,16 +26,16 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	answers := bufio.NewReader(c)
-	said := func(piece string) time.Time {
+	send := func(piece string) time.Time {
 		io.WriteString(c, piece)
 		return time.Now()
 	}
-	said("mg k v O1 Pc=read,d=400.5,k=m\r\n")
+	send("mg k v O1 Pc=read,d=400.5,k=m\r\n")
 	answers.ReadString('\n')
-	said("ms k 4 O2 Pr=1,d=70,c=put\r\nmg")
+	send("ms k 4 O2 Pr=1,d=70,c=put\r\nmg")
 	time.Sleep(200 * time.Millisecond)
 	before := time.Now()
-	last := said(" \r\r\n")
+	last := send(" \r\r\n")
 	answers.ReadString('\n')
 
 	request, _ := http.NewRequest(http.MethodPut, "http://"+origin.Addr().String()+"/k", strings.NewReader("value"))
@@ -56,9 +56,10 @@
 	if len(attempts) != len(want) {
 		t.Fatalf("%d attempts, want %d: %+v", len(attempts), len(want), attempts)
 	}
-	const clockStep = 10 * time.Millisecond // the kernel tells the time of the last byte by its own tick
-	if came := attempts[1].ReceivedAt; came.Before(before.Add(-clockStep)) || came.After(last.Add(time.Second)) {
-		t.Errorf("the last byte came %v after it was sent", came.Sub(last))
+	const clockStep = 10 * time.Millisecond // resolution of the kernel's time of the last byte
+	if receivedAt := attempts[1].ReceivedAt; receivedAt.Before(before.Add(-clockStep)) ||
+		receivedAt.After(last.Add(time.Second)) {
+		t.Errorf("the last byte arrived %v after it was sent", receivedAt.Sub(last))
 	}
 	for i, a := range attempts {
 		a.ReceivedAt = time.Time{}
@@ -67,6 +68,6 @@
 		}
 	}
 	if s.TakeNotes(); len(s.Attempts()) != 0 {
-		t.Error("attempts that were forgotten")
+		t.Error("attempts remain after TakeNotes")
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -15,76 +15,76 @@
 	"larchthread/internal/protocol"
 )
 
-// The phases of a host in lists.
+// Phases of a listed host.
 const (
 	InService   = string(protocol.InService)
 	Terminating = string(protocol.Terminating)
 	Terminated  = string(protocol.Terminated)
 )
 
-// The kinds of machine in lists.
+// Kinds of listed machines.
 const (
 	KindHost   = "box"
 	KindOrigin = "origin"
 )
 
-const longestWatch = time.Minute
+const maxWatchDuration = time.Minute // longest wait for a change
 
-// Member is what discovery holds of a host.
+// Member is a host or the origin as discovery lists it.
 type Member struct {
 	ID      string
 	Zone    string
 	Address string
 	Phase   string
 	Origin  bool
-	UpSince time.Duration // when it last started; 0: long ago
+	UpSince time.Duration // its last start, since the start of the fleet; 0: before that
 
-	changed uint64 // the revision of its last change
+	changedIn uint64 // revision of its last change
 }
 
-// Discovery is the list service. Each balancer has a view of its own, in which hosts have the addresses that it is to use.
+// Discovery is the service that lists the hosts. Each balancer gets its own view, with the addresses that it should use.
 type Discovery struct {
 	fleet *Fleet
 
-	mu       sync.Mutex
-	revision uint64
-	members  map[string][]Member // by id, what has been held of it, the last one last
-	shown    uint64              // the last revision that views show, behind the newest while lists are late
-	late     time.Duration
-	silent   bool
-	news     chan struct{} // closed with each change
-	servers  []*http.Server
-	ended    bool
+	mu              sync.Mutex
+	revision        uint64
+	history         map[string][]Member // all versions of each member by id, the newest last
+	visibleRevision uint64              // newest revision that views show; lags behind revision by delay
+	delay           time.Duration
+	silent          bool          // requests are not answered
+	changed         chan struct{} // closed and replaced at each change
+	servers         []*http.Server
+	closed          bool
 }
 
-// SetMember adds a member, or changes it.
+// SetMember adds or replaces a member. Views show it after the current delay.
 func (d *Discovery) SetMember(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	m.changed = d.revision
-	d.members[m.ID] = append(d.members[m.ID], m)
-	if d.late == 0 {
-		d.show(d.revision)
+	m.changedIn = d.revision
+	d.history[m.ID] = append(d.history[m.ID], m)
+	if d.delay == 0 {
+		d.publish(d.revision)
 		return
 	}
 	revision := d.revision
-	time.AfterFunc(d.late, func() {
+	time.AfterFunc(d.delay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.show(revision)
+		d.publish(revision)
 	})
 }
 
-// SetPhase changes the phase of a member, and when it started, unless that is 0.
+// SetPhase changes the phase of a member and, unless upSince is 0, its start time. It fails if there is no such member.
 func (d *Discovery) SetPhase(id, phase string, upSince time.Duration) error {
 	d.mu.Lock()
-	past := d.members[id]
+	versions := d.history[id]
 	d.mu.Unlock()
-	if len(past) == 0 {
+	if len(versions) == 0 {
 		return fmt.Errorf("discovery: no member %q", id)
 	}
-	m := past[len(past)-1]
+	m := versions[len(versions)-1]
 	m.Phase = phase
 	if upSince > 0 {
 		m.UpSince = upSince
@@ -93,37 +93,40 @@
 	return nil
 }
 
-// SetDelay has changes shown so much later, from now on.
-func (d *Discovery) SetDelay(by time.Duration) {
+// SetDelay delays the visibility of later changes; 0 shows all changes at once.
+func (d *Discovery) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.late = by; by == 0 {
-		d.show(d.revision)
+	if d.delay = delay; delay == 0 {
+		d.publish(d.revision)
 	}
 }
 
-// SetSilent has calls taken and not answered while it is on.
+// SetSilent makes the service accept requests without answering them while on is true.
 func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = on
-	d.wake()
+	d.notifyWatchers()
 }
 
-func (d *Discovery) show(revision uint64) {
-	d.shown = max(d.shown, revision)
-	d.wake()
+// publish makes a revision visible. The caller holds the lock.
+func (d *Discovery) publish(revision uint64) {
+	d.visibleRevision = max(d.visibleRevision, revision)
+	d.notifyWatchers()
 }
 
-func (d *Discovery) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+// notifyWatchers wakes all waiting requests. The caller holds the lock.
+func (d *Discovery) notifyWatchers() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
+// close ends all views.
 func (d *Discovery) close() {
 	d.mu.Lock()
-	d.ended = true
-	d.wake()
+	d.closed = true
+	d.notifyWatchers()
 	servers := d.servers
 	d.mu.Unlock()
 	for _, s := range servers {
@@ -131,7 +134,8 @@
 	}
 }
 
-// ServeView serves a balancer's view on an address of its own, which it returns. address gives what a member's address is there.
+// ServeView starts a server for the view of the balancer name and returns its address. The function address maps members to the
+// addresses that the view shows.
 func (d *Discovery) ServeView(name string, address func(m Member) string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,53 +149,56 @@
 	return l.Addr().String(), nil
 }
 
-// Handler serves a balancer's view, for a server of the caller's own.
+// Handler returns a handler for the view of the balancer name; see ServeView. The caller runs the server.
 func (d *Discovery) Handler(name string, address func(m Member) string) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(name, address, w, r) })
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serveList(name, address, w, r) })
 }
 
-// FullList is the list as a view would show it, for a balancer's start file.
+// FullList returns the complete list as a view shows it, for a balancer's start file.
 func (d *Discovery) FullList(address func(m Member) string) (json.RawMessage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return json.Marshal(d.since(0, address))
+	return json.Marshal(d.listSince(0, address))
 }
 
-func (d *Discovery) answer(name string, address func(m Member) string, w http.ResponseWriter, r *http.Request) {
-	asked := r.URL.Query()
-	index, _ := strconv.ParseUint(asked.Get("index"), 10, 64)
-	wait, _ := strconv.Atoi(asked.Get("wait"))
-	end := time.After(min(time.Duration(wait)*time.Millisecond, longestWatch))
-	for over := !asked.Has("index"); ; {
+// serveList answers a request with the complete list, or with what has changed after the revision in the query's index. If
+// nothing has, it waits for a change for the milliseconds in the query's wait, and then answers with an empty change.
+func (d *Discovery) serveList(name string, address func(m Member) string, w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	index, _ := strconv.ParseUint(query.Get("index"), 10, 64)
+	wait, _ := strconv.Atoi(query.Get("wait"))
+	end := time.After(min(time.Duration(wait)*time.Millisecond, maxWatchDuration))
+	for immediate := !query.Has("index"); ; {
 		d.mu.Lock()
-		if d.ended {
+		if d.closed {
 			d.mu.Unlock()
 			return
 		}
-		if !d.silent && (over || d.shown > index) {
-			l := d.since(index, address)
+		if !d.silent && (immediate || d.visibleRevision > index) {
+			l := d.listSince(index, address)
 			d.mu.Unlock()
-			d.write(name, w, l)
+			d.writeList(name, w, l)
 			return
 		}
-		news := d.news
+		changed := d.changed
 		d.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-end:
-			over = true
+			immediate = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// since is what has changed behind a revision; all of it behind 0.
-func (d *Discovery) since(index uint64, address func(m Member) string) *protocol.HostList {
-	l := &protocol.HostList{Revision: max(d.shown, index), Complete: index == 0}
-	for _, past := range d.members {
-		m, found := shown(past, d.shown)
-		if !found || m.changed <= index || l.Complete && m.Phase == Terminated {
+// listSince returns the members that changed after revision index, or the complete list if index is 0. The caller holds the
+// lock.
+func (d *Discovery) listSince(index uint64, address func(m Member) string) *protocol.HostList {
+	list := &protocol.HostList{Revision: max(d.visibleRevision, index), Complete: index == 0}
+	for _, versions := range d.history {
+		m, found := memberAt(versions, d.visibleRevision)
+		if !found || m.changedIn <= index || list.Complete && m.Phase == Terminated {
 			continue
 		}
 		at, err := netip.ParseAddrPort(address(m))
@@ -202,31 +209,32 @@
 		if m.Origin {
 			kind = KindOrigin
 		}
-		up := 0.0
+		upSince := 0.0
 		if m.UpSince > 0 {
-			up = float64(d.fleet.StartTime().Add(m.UpSince).UnixMicro()) / 1000
+			upSince = float64(d.fleet.StartTime().Add(m.UpSince).UnixMicro()) / 1000
 		}
-		l.Members = append(l.Members, protocol.Member{ID: m.ID, Address: at, Locality: m.Zone, Flavor: kind,
-			Phase: protocol.Phase(m.Phase), Size: 1, UpSince: up})
+		list.Members = append(list.Members, protocol.Member{ID: m.ID, Address: at, Locality: m.Zone, Flavor: kind,
+			Phase: protocol.Phase(m.Phase), Size: 1, UpSince: upSince})
 	}
-	slices.SortFunc(l.Members, func(x, y protocol.Member) int { return cmp.Compare(x.ID, y.ID) })
-	return l
+	slices.SortFunc(list.Members, func(x, y protocol.Member) int { return cmp.Compare(x.ID, y.ID) })
+	return list
 }
 
-// shown is the last of what has been held of a member that views show.
-func shown(past []Member, revision uint64) (m Member, found bool) {
-	for _, p := range slices.Backward(past) {
-		if p.changed <= revision {
-			return p, true
+// memberAt returns the newest version of a member at a revision; found is false if it did not exist then.
+func memberAt(versions []Member, revision uint64) (m Member, found bool) {
+	for _, version := range slices.Backward(versions) {
+		if version.changedIn <= revision {
+			return version, true
 		}
 	}
 	return m, false
 }
 
-func (d *Discovery) write(name string, w http.ResponseWriter, l *protocol.HostList) {
-	t := SentList{View: name, Revision: l.Revision, Phases: map[string]string{}, Complete: l.Complete}
+// writeList writes a list to a balancer and records it.
+func (d *Discovery) writeList(name string, w http.ResponseWriter, l *protocol.HostList) {
+	sent := SentList{View: name, Revision: l.Revision, Phases: map[string]string{}, Complete: l.Complete}
 	for _, m := range l.Members {
-		t.Phases[m.ID] = string(m.Phase)
+		sent.Phases[m.ID] = string(m.Phase)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	text, err := json.Marshal(l)
@@ -239,6 +247,6 @@
 	}
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	t.SentAt = d.fleet.Elapsed()
-	d.fleet.told = append(d.fleet.told, t)
+	sent.SentAt = d.fleet.Elapsed()
+	d.fleet.sentLists = append(d.fleet.sentLists, sent)
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -11,45 +11,46 @@
 	"time"
 )
 
-// FaultMode is how a host or the origin misbehaves. The zero Mode does not.
+// FaultMode tells how a host or the origin misbehaves. The zero FaultMode injects no fault.
 type FaultMode struct {
-	Hang       bool    // takes ops and connections, and answers nothing
-	SlowFactor float64 // factor of the work that an op takes; 0 and 1 are none
-	ErrorRate  float64 // part of the ops that end in an error, once the work is done
-	ResetRate  float64 // part of the answers in place of which the connection is reset, once the work is done
-	MaxConns   int     // connections that are taken at the most; 0: as many as come
+	Hang       bool    // accepts ops and connections, but does not answer
+	SlowFactor float64 // multiplies the service time; no effect up to 1
+	ErrorRate  float64 // fraction of the ops that are executed but answered with an error
+	ResetRate  float64 // fraction of the ops that are executed, but whose connection is reset in place of the answer
+	MaxConns   int     // limit of open connections; 0: no limit
 }
 
-// Host is a cache host of the memcache meta commands.
+// Host simulates a cache host that speaks the memcache meta commands.
 type Host struct {
-	ID      string
-	Zone    string
-	fleet   *Fleet
-	work    Capacity
-	warming Warming
-
-	mu       sync.Mutex
-	rng      *rand.Rand
-	listener net.Listener
-	address  string
-	conns    map[net.Conn]bool
-	kept     map[string]string
-	mode     FaultMode
-	change   chan struct{} // closed when the mode changes or the host dies
-	slots    chan struct{}
-	waiting  int
-	started  time.Duration   // 0: long ago
-	sent     []time.Duration // what came lately while it was cold
-	fell     bool
-}
-
-// AddHost adds a host that is warm and listens on an IP address of loopback. Discovery lists it at once.
-func (f *Fleet) AddHost(id, zone, ip string, seed uint64, work Capacity, warming Warming) (*Host, error) {
-	if err := work.check(); err != nil {
+	ID       string
+	Zone     string
+	fleet    *Fleet
+	capacity Capacity
+	warming  Warming
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	listener     net.Listener
+	address      string
+	conns        map[net.Conn]bool
+	values       map[string]string
+	faultMode    FaultMode
+	stateChanged chan struct{}   // closed and replaced when the fault mode changes or the host is killed
+	slots        chan struct{}   // holds an element for each op in execution; new at each start
+	pending      int             // ops in execution or waiting for a slot
+	startedAt    time.Duration   // 0: before the start of the fleet
+	recentPushes []time.Duration // arrival times within the overload window while cold
+	crashed      bool
+}
+
+// AddHost starts a warm host on the loopback address ip and lists it in discovery. The seed determines its random behavior. It
+// fails if the capacity is invalid or the host cannot listen.
+func (f *Fleet) AddHost(id, zone, ip string, seed uint64, capacity Capacity, warming Warming) (*Host, error) {
+	if err := capacity.validate(); err != nil {
 		return nil, fmt.Errorf("host %s: %w", id, err)
 	}
-	h := &Host{ID: id, Zone: zone, fleet: f, work: work, warming: warming, rng: rand.New(rand.NewPCG(seed, 1)),
-		address: net.JoinHostPort(ip, "0"), conns: map[net.Conn]bool{}, change: make(chan struct{})}
+	h := &Host{ID: id, Zone: zone, fleet: f, capacity: capacity, warming: warming, rng: rand.New(rand.NewPCG(seed, 1)),
+		address: net.JoinHostPort(ip, "0"), conns: map[net.Conn]bool{}, stateChanged: make(chan struct{})}
 	if err := h.listen(); err != nil {
 		return nil, err
 	}
@@ -60,20 +61,21 @@
 	return h, nil
 }
 
-// Address is where the host listens.
+// Address returns the address on which the host listens.
 func (h *Host) Address() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.address
 }
 
-// HasCrashed tells whether the host was pushed over while it was cold.
+// HasCrashed reports whether the host crashed from overload while it was cold, and has not been started again.
 func (h *Host) HasCrashed() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fell
+	return h.crashed
 }
 
+// listen starts accepting connections, with an empty cache.
 func (h *Host) listen() error {
 	l, err := net.Listen("tcp", h.address)
 	if err != nil {
@@ -81,37 +83,38 @@
 	}
 	h.mu.Lock()
 	h.listener, h.address = l, l.Addr().String()
-	h.kept, h.slots, h.waiting, h.sent = map[string]string{}, make(chan struct{}, h.work.Slots), 0, nil
+	h.values, h.slots, h.pending, h.recentPushes = map[string]string{}, make(chan struct{}, h.capacity.Slots), 0, nil
 	h.mu.Unlock()
 	go h.accept(l)
 	return nil
 }
 
-// Start brings a dead host back, empty and cold, at its old address.
+// Start restarts a killed or crashed host at its old address, empty and cold. It does nothing if the host is running.
 func (h *Host) Start() error {
 	h.mu.Lock()
-	up := h.listener != nil
+	running := h.listener != nil
 	h.mu.Unlock()
-	if up {
+	if running {
 		return nil
 	}
 	if err := h.listen(); err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.started, h.fell = max(h.fleet.Elapsed(), 1), false
+	h.startedAt, h.crashed = max(h.fleet.Elapsed(), 1), false
 	h.mu.Unlock()
 	return nil
 }
 
-// Kill ends the host as the end of its process would: connections are reset, new ones refused.
+// Kill stops the host as if its process had been killed: connections are reset and new ones refused.
 func (h *Host) Kill() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.die()
+	h.killLocked()
 }
 
-func (h *Host) die() {
+// killLocked is Kill for callers that hold the lock.
+func (h *Host) killLocked() {
 	if h.listener == nil {
 		return
 	}
@@ -121,43 +124,47 @@
 		ResetConn(c)
 	}
 	clear(h.conns)
-	h.changed()
+	h.notifyLocked()
 }
 
-func (h *Host) changed() {
-	close(h.change)
-	h.change = make(chan struct{})
+// notifyLocked wakes all ops that wait for a change of state. The caller holds the lock.
+func (h *Host) notifyLocked() {
+	close(h.stateChanged)
+	h.stateChanged = make(chan struct{})
 }
 
-// SetFaultMode changes how the host misbehaves, from now on.
+// SetFaultMode replaces the fault mode.
 func (h *Host) SetFaultMode(m FaultMode) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.mode = m
-	h.changed()
+	h.faultMode = m
+	h.notifyLocked()
 }
 
-// Clear drops all that the host keeps.
+// Clear empties the cache.
 func (h *Host) Clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	clear(h.kept)
+	clear(h.values)
 }
 
-func (h *Host) keep(key, value string) {
+// putValue caches a value, if the host is running.
+func (h *Host) putValue(key, value string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.listener != nil {
-		h.kept[key] = value
+		h.values[key] = value
 	}
 }
 
-func (h *Host) drop(key string) {
+// removeValue removes a key from the cache.
+func (h *Host) removeValue(key string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.kept, key)
+	delete(h.values, key)
 }
 
+// accept serves the connections of a listener, up to the limit of the fault mode.
 func (h *Host) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -165,7 +172,7 @@
 			return
 		}
 		h.mu.Lock()
-		full := h.mode.MaxConns > 0 && len(h.conns) >= h.mode.MaxConns
+		full := h.faultMode.MaxConns > 0 && len(h.conns) >= h.faultMode.MaxConns
 		alive := h.listener == l
 		if alive && !full {
 			h.conns[c] = true
@@ -183,6 +190,7 @@
 	}
 }
 
+// serve executes the commands of a connection, one after another.
 func (h *Host) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -191,15 +199,15 @@
 		h.mu.Unlock()
 	}()
 	for r := bufio.NewReader(c); ; {
-		k, err := readCommand(r)
+		cmd, err := readCommand(r)
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
 				fmt.Fprintf(c, "CLIENT_ERROR %v\r\n", err)
 			}
 			return
 		}
-		answer, cut := h.answer(c, k)
-		if cut {
+		answer, reset := h.execute(c, cmd)
+		if reset {
 			ResetConn(c)
 			return
 		}
@@ -209,7 +217,7 @@
 	}
 }
 
-// ResetConn ends a connection with a reset, whatever stands unsent on it.
+// ResetConn closes a TCP connection with a reset and discards unsent data.
 func ResetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
--- a/internal/standin/host_work.go
+++ b/internal/standin/host_work.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// Warming is how a host that has just started comes to its full power, and when it falls.
+// Warming describes how a restarted host reaches its full capacity, and under which load it crashes before that.
 type Warming struct {
-	InitialShare     float64       // part of its capacity at which it starts
-	Duration         time.Duration // until it has all of it, evenly
-	OverloadMultiple float64       // sent this many times what it can do
-	OverloadWindow   time.Duration // in such a span, it falls over and stays down; never where Multiple is 0
+	InitialShare     float64       // fraction of the capacity that is available at the start
+	Duration         time.Duration // of the linear rise to the full capacity
+	OverloadMultiple float64       // a cold host crashes under this multiple of the load that it can handle
+	OverloadWindow   time.Duration // over which the load is measured; no crashes if OverloadMultiple is 0
 }
 
-// answer does the work of one command. cut: the connection is to be reset instead.
-func (h *Host) answer(c net.Conn, k command) (answer string, cut bool) {
+// execute executes a command and returns the answer; if reset is true, the connection has to be reset instead.
+func (h *Host) execute(c net.Conn, cmd command) (answer string, reset bool) {
 	now := h.fleet.Elapsed()
-	run := ReceivedPush{Host: h.ID, ClientIP: from(c.RemoteAddr().String()), OpID: k.id, Key: k.key, Category: k.attr("c"), DedupMark: k.attr("k"),
-		Write: k.write, ReceivedAt: now, Deadline: now + k.wait()}
+	push := ReceivedPush{Host: h.ID, ClientIP: clientIP(c.RemoteAddr().String()), OpID: cmd.opID, Key: cmd.key,
+		Category: cmd.attr("c"), DedupMark: cmd.attr("k"), Write: cmd.write, ReceivedAt: now, Deadline: now + cmd.timeLeft()}
 	h.mu.Lock()
 	if h.listener == nil {
 		h.mu.Unlock()
 		return "", true
 	}
-	share := h.warmth(now)
-	if run.Cold = share < 1; run.Cold && h.tip(now, share) {
-		run.CausedCrash, h.fell = true, true
-		h.die()
+	share := h.capacityShare(now)
+	if push.Cold = share < 1; push.Cold && h.recordColdPush(now, share) {
+		push.CausedCrash, h.crashed = true, true
+		h.killLocked()
 	}
-	full := h.waiting >= h.work.QueueLimit+h.work.Slots
+	full := h.pending >= h.capacity.QueueLimit+h.capacity.Slots
 	if !full {
-		h.waiting++
+		h.pending++
 	}
-	takes := time.Duration(float64(h.work.ServiceTime) * (0.5 + h.rng.Float64()) * math.Max(h.mode.SlowFactor, 1) / share)
-	fails, resets := h.rng.Float64() < h.mode.ErrorRate, h.rng.Float64() < h.mode.ResetRate
-	value, kept := h.kept[k.key]
+	serviceTime := time.Duration(float64(h.capacity.ServiceTime) * (0.5 + h.rng.Float64()) *
+		math.Max(h.faultMode.SlowFactor, 1) / share)
+	fails, resets := h.rng.Float64() < h.faultMode.ErrorRate, h.rng.Float64() < h.faultMode.ResetRate
+	value, found := h.values[cmd.key]
 	slots := h.slots
 	h.mu.Unlock()
-	if run.CausedCrash {
-		h.fleet.note(run)
+	if push.CausedCrash {
+		h.fleet.recordPush(push)
 		return "", true
 	}
 	if full {
-		h.fleet.note(run)
+		h.fleet.recordPush(push)
 		return "SERVER_ERROR busy\r\n", false
 	}
-	run.Executed = kept && !k.write
-	h.fleet.note(run)
-	alive := h.wait(slots, takes)
+	push.Executed = found && !cmd.write
+	h.fleet.recordPush(push)
+	alive := h.process(slots, serviceTime)
 	h.mu.Lock()
 	if h.slots == slots {
-		h.waiting--
+		h.pending--
 	}
 	h.mu.Unlock()
 	switch {
@@ -60,65 +61,69 @@
 		return "", true
 	case fails:
 		return "SERVER_ERROR failed\r\n", false
-	case !kept || k.write:
-		h.fleet.miss(k.id, h)
-		return fmt.Sprintf("EN O%s\r\n", k.id), false
+	case !found || cmd.write:
+		h.fleet.recordMiss(cmd.opID, h)
+		return fmt.Sprintf("EN O%s\r\n", cmd.opID), false
 	}
-	return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(value), k.id, value), false
+	return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(value), cmd.opID, value), false
 }
 
-// wait takes a slot, works for so long, and waits on while the host hangs. It tells whether the process is alive still.
-func (h *Host) wait(slots chan struct{}, takes time.Duration) bool {
+// process waits for a free slot, holds it for the service time, and then waits while the host hangs. It returns false if the
+// host was killed while the op waited for a slot, or by the end of the service time or of the hang.
+func (h *Host) process(slots chan struct{}, serviceTime time.Duration) bool {
 	for taken := false; !taken; {
-		alive, _, change := h.state(slots)
+		alive, _, stateChanged := h.processState(slots)
 		if !alive {
 			return false
 		}
 		select {
 		case slots <- struct{}{}:
 			taken = true
-		case <-change:
+		case <-stateChanged:
 		}
 	}
 	defer func() { <-slots }()
-	if takes > 0 {
-		time.Sleep(takes)
+	if serviceTime > 0 {
+		time.Sleep(serviceTime)
 	}
 	for {
-		alive, hangs, change := h.state(slots)
-		if !alive || !hangs {
+		alive, hanging, stateChanged := h.processState(slots)
+		if !alive || !hanging {
 			return alive
 		}
-		<-change
+		<-stateChanged
 	}
 }
 
-// state tells whether the process that has these slots is alive, whether it hangs, and what is closed once either changes.
-func (h *Host) state(slots chan struct{}) (alive, hangs bool, change <-chan struct{}) {
+// processState reports whether the host still runs since the start that made these slots, and whether it hangs. The channel
+// is closed when either may have changed.
+func (h *Host) processState(slots chan struct{}) (alive, hanging bool, stateChanged <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.listener != nil && h.slots == slots, h.mode.Hang, h.change
+	return h.listener != nil && h.slots == slots, h.faultMode.Hang, h.stateChanged
 }
 
-// warmth is the part of its capacity that the host has.
-func (h *Host) warmth(now time.Duration) float64 {
-	if age := now - h.started; h.started > 0 && age < h.warming.Duration {
+// capacityShare returns the fraction of its capacity that the host has at a time: 1 if it is warm. The caller holds the lock.
+func (h *Host) capacityShare(now time.Duration) float64 {
+	if age := now - h.startedAt; h.startedAt > 0 && age < h.warming.Duration {
 		return h.warming.InitialShare + (1-h.warming.InitialShare)*float64(age)/float64(h.warming.Duration)
 	}
 	return 1
 }
 
-// tip counts what a cold host is sent, and tells whether it falls. It can do its capacity's part for a span, with slack for
-// chance.
-func (h *Host) tip(now time.Duration, share float64) bool {
+// recordColdPush records a push to a cold host that has the given fraction of its capacity, and reports whether the host
+// crashes: if the pushes in the overload window exceed the limit, with a margin for random arrivals. The caller holds the
+// lock.
+func (h *Host) recordColdPush(now time.Duration, share float64) bool {
 	if h.warming.OverloadMultiple == 0 {
 		return false
 	}
-	h.sent = append(h.sent, now)
-	for len(h.sent) > 0 && now-h.sent[0] > h.warming.OverloadWindow {
-		h.sent = h.sent[1:]
+	h.recentPushes = append(h.recentPushes, now)
+	for len(h.recentPushes) > 0 && now-h.recentPushes[0] > h.warming.OverloadWindow {
+		h.recentPushes = h.recentPushes[1:]
 	}
-	can := float64(h.work.Slots) * float64(h.warming.OverloadWindow) / float64(max(h.work.ServiceTime, time.Microsecond)) * share
-	n := h.warming.OverloadMultiple * can
-	return float64(len(h.sent)) > n+3*math.Sqrt(n)+3
+	capacity := float64(h.capacity.Slots) * float64(h.warming.OverloadWindow) /
+		float64(max(h.capacity.ServiceTime, time.Microsecond)) * share
+	limit := h.warming.OverloadMultiple * capacity
+	return float64(len(h.recentPushes)) > limit+3*math.Sqrt(limit)+3
 }
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -12,64 +12,66 @@
 	"time"
 )
 
-// OriginID is the origin's name in lists and runs.
+// OriginID is the origin's id in lists, received pushes and attempts.
 const OriginID = "origin"
 
-// Origin is the slow server behind all cache hosts. It holds the value that was last written to each key, which is the id of
-// the op that wrote it; a key that was never written has a value of its own name.
+// Origin simulates the slow server behind the cache hosts. A key's value consists of the key and the id of the op that last
+// wrote it, or "unwritten".
 type Origin struct {
-	fleet   *Fleet
-	work    Capacity
-	server  *http.Server
-	address string
+	fleet    *Fleet
+	capacity Capacity
+	server   *http.Server
+	address  string
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	values map[string]string
-	mode   FaultMode
-	change chan struct{}
-	busy   int // at work, and waiting
-	slots  chan struct{}
+	mu           sync.Mutex
+	rng          *rand.Rand
+	values       map[string]string // id of the last write by key
+	faultMode    FaultMode
+	stateChanged chan struct{} // closed and replaced when the fault mode changes
+	pending      int           // ops in execution or waiting for a slot
+	slots        chan struct{} // holds an element for each op in execution
 }
 
-func newOrigin(f *Fleet, seed uint64, work Capacity) (*Origin, error) {
-	if err := work.check(); err != nil {
+// newOrigin starts an origin and lists it in discovery. It fails if the capacity is invalid or the origin cannot listen.
+func newOrigin(f *Fleet, seed uint64, capacity Capacity) (*Origin, error) {
+	if err := capacity.validate(); err != nil {
 		return nil, fmt.Errorf("origin: %w", err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("origin: %w", err)
 	}
-	o := &Origin{fleet: f, work: work, address: l.Addr().String(), rng: rand.New(rand.NewPCG(seed, 2)),
-		values: map[string]string{}, change: make(chan struct{}), slots: make(chan struct{}, work.Slots)}
+	o := &Origin{fleet: f, capacity: capacity, address: l.Addr().String(), rng: rand.New(rand.NewPCG(seed, 2)),
+		values: map[string]string{}, stateChanged: make(chan struct{}), slots: make(chan struct{}, capacity.Slots)}
 	o.server = &http.Server{Handler: http.HandlerFunc(o.handle)}
 	go o.server.Serve(l)
 	f.Discovery.SetMember(Member{ID: OriginID, Address: o.address, Phase: InService, Origin: true})
 	return o, nil
 }
 
-// Address is where the origin listens.
+// Address returns the address on which the origin listens.
 func (o *Origin) Address() string { return o.address }
 
-// Stop ends the origin for good.
+// Stop closes the origin and its connections; it cannot be started again.
 func (o *Origin) Stop() { o.server.Close() }
 
-// SetFaultMode changes how the origin misbehaves, from now on.
+// SetFaultMode replaces the fault mode.
 func (o *Origin) SetFaultMode(m FaultMode) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.mode = m
-	close(o.change)
-	o.change = make(chan struct{})
+	o.faultMode = m
+	close(o.stateChanged)
+	o.stateChanged = make(chan struct{})
 }
 
-// Value is what a key's readers have to be given now.
+// Value returns the current value of a key.
 func (o *Origin) Value(key string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.value(key)
 }
 
+// value is Value for callers that hold the lock.
 func (o *Origin) value(key string) string {
 	writer := o.values[key]
 	if writer == "" {
@@ -78,80 +80,84 @@
 	return key + " " + writer
 }
 
+// handle serves an HTTP request: PUT writes the key in the path, all other methods read it.
 func (o *Origin) handle(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	list, key := r.Header.Get("X-Attrs"), strings.TrimPrefix(r.URL.Path, "/")
+	attributes, key := r.Header.Get("X-Attrs"), strings.TrimPrefix(r.URL.Path, "/")
 	now := o.fleet.Elapsed()
-	run := ReceivedPush{Host: OriginID, ClientIP: from(r.RemoteAddr), OpID: r.Header.Get("X-Request-ID"), Key: key, Category: attr(list, "c"),
-		DedupMark: attr(list, "k"), Write: r.Method == http.MethodPut, ReceivedAt: now, Deadline: now + waits(list)}
+	push := ReceivedPush{Host: OriginID, ClientIP: clientIP(r.RemoteAddr), OpID: r.Header.Get("X-Request-ID"), Key: key,
+		Category: attr(attributes, "c"), DedupMark: attr(attributes, "k"), Write: r.Method == http.MethodPut, ReceivedAt: now,
+		Deadline: now + timeLeft(attributes)}
 	o.mu.Lock()
-	full := o.busy >= o.work.Slots+o.work.QueueLimit
+	full := o.pending >= o.capacity.Slots+o.capacity.QueueLimit
 	if !full {
-		o.busy++
+		o.pending++
 	}
-	takes := time.Duration(float64(o.work.ServiceTime) * (0.5 + o.rng.Float64()) * math.Max(o.mode.SlowFactor, 1))
-	fails, resets := o.rng.Float64() < o.mode.ErrorRate, o.rng.Float64() < o.mode.ResetRate
+	serviceTime := time.Duration(float64(o.capacity.ServiceTime) * (0.5 + o.rng.Float64()) * math.Max(o.faultMode.SlowFactor, 1))
+	fails, resets := o.rng.Float64() < o.faultMode.ErrorRate, o.rng.Float64() < o.faultMode.ResetRate
 	o.mu.Unlock()
-	if run.Executed = !full; full {
-		o.fleet.note(run)
+	if push.Executed = !full; full {
+		o.fleet.recordPush(push)
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	o.fleet.note(run)
+	o.fleet.recordPush(push)
 	defer func() {
 		o.mu.Lock()
-		o.busy--
+		o.pending--
 		o.mu.Unlock()
 	}()
 	o.slots <- struct{}{}
-	time.Sleep(takes)
-	value := o.carry(run)
+	time.Sleep(serviceTime)
+	value := o.execute(push)
 	<-o.slots
-	o.hang()
+	o.waitWhileHanging()
 	switch {
 	case resets:
 		panic(http.ErrAbortHandler)
 	case fails:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case !run.Write && r.Context().Err() == nil:
-		o.keep(run, value)
+	case !push.Write && r.Context().Err() == nil:
+		o.fillCaches(push, value)
 	}
 	io.WriteString(w, value)
 }
 
-// carry does what an op asks for. A write has happened once it returns; so it can be told apart from a read's moment.
-func (o *Origin) carry(run ReceivedPush) (value string) {
+// execute reads or writes the key and returns the answer. A write also removes the cached copies of its key, and takes effect
+// before execute returns.
+func (o *Origin) execute(push ReceivedPush) (value string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !run.Write {
-		return o.value(run.Key)
+	if !push.Write {
+		return o.value(push.Key)
 	}
-	o.values[run.Key] = run.OpID
-	o.fleet.void(run.Key)
-	return "receipt-" + run.OpID
+	o.values[push.Key] = push.OpID
+	o.fleet.invalidate(push.Key)
+	return "receipt-" + push.OpID
 }
 
-// keep has the hosts that missed keep a value, unless a write has come between.
-func (o *Origin) keep(run ReceivedPush, value string) {
+// fillCaches stores the value in the hosts that missed it, unless the key has been written since it was read.
+func (o *Origin) fillCaches(push ReceivedPush, value string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.value(run.Key) == value {
-		o.fleet.store(run.OpID, run.Key, value)
+	if o.value(push.Key) == value {
+		o.fleet.fillMissed(push.OpID, push.Key, value)
 	}
 }
 
-func (o *Origin) hang() {
+// waitWhileHanging blocks while the fault mode is set to hang.
+func (o *Origin) waitWhileHanging() {
 	for {
 		o.mu.Lock()
-		hangs, change := o.mode.Hang, o.change
+		hanging, stateChanged := o.faultMode.Hang, o.stateChanged
 		o.mu.Unlock()
-		if !hangs {
+		if !hanging {
 			return
 		}
-		<-change
+		<-stateChanged
 	}
 }
--- a/internal/standin/scripted_fleet.go
+++ b/internal/standin/scripted_fleet.go
@@ -16,11 +16,11 @@
 	"time"
 )
 
-// ScriptedFleet is stand-ins that answer by the word of a test, one answer at a time, where a Fleet's go by what they hold. It
-// notes what they hear. Its methods panic where the machine has no room for them.
+// ScriptedFleet runs fake servers whose answers are scripted by a test, while those of a Fleet have a state of their own. It
+// records what the servers receive as notes. Its methods panic if they cannot listen.
 type ScriptedFleet struct {
-	Members      []string    // of discovery's list, in its form
-	WatchAnswers chan string // the answers to watches; "down" for a failure
+	Members      []string    // members of the discovery list, as JSON
+	WatchAnswers chan string // next answers of the discovery service; "down" for a failure
 	Closers      []io.Closer
 
 	mu       sync.Mutex
@@ -28,21 +28,21 @@
 	attempts []Attempt
 }
 
-// Notef notes something.
-func (s *ScriptedFleet) Notef(form string, args ...any) {
+// Notef adds a formatted note, with the time left masked.
+func (s *ScriptedFleet) Notef(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notes = append(s.notes, waited.ReplaceAllString(fmt.Sprintf(form, args...), "d=.."))
+	s.notes = append(s.notes, timeLeftPattern.ReplaceAllString(fmt.Sprintf(format, args...), "d=.."))
 }
 
-// Notes are all notes since the last call of Forget.
+// Notes returns all notes since the last call of TakeNotes.
 func (s *ScriptedFleet) Notes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.notes...)
 }
 
-// TakeNotes takes all notes, and has noted nothing from then on; attempts are forgotten too.
+// TakeNotes returns all notes, then removes them and all attempts.
 func (s *ScriptedFleet) TakeNotes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,24 +51,24 @@
 	return all
 }
 
-// ReplaceInNotes changes a part of all notes.
-func (s *ScriptedFleet) ReplaceInNotes(old, name string) {
+// ReplaceInNotes replaces the first occurrence of old in each note.
+func (s *ScriptedFleet) ReplaceInNotes(old, replacement string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, n := range s.notes {
-		s.notes[i] = strings.Replace(n, old, name, 1)
+		s.notes[i] = strings.Replace(n, old, replacement, 1)
 	}
 }
 
-// SortNotes puts all notes in order of the alphabet.
+// SortNotes sorts the notes alphabetically.
 func (s *ScriptedFleet) SortNotes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slices.Sort(s.notes)
 }
 
-// Serve has each connection to a listener served.
-func (s *ScriptedFleet) Serve(l net.Listener, each func(net.Conn)) {
+// Serve calls handle in a goroutine for each connection to a listener, and closes the connection when handle returns.
+func (s *ScriptedFleet) Serve(l net.Listener, handle func(net.Conn)) {
 	s.Closers = append(s.Closers, l)
 	go func() {
 		for {
@@ -78,13 +78,13 @@
 			}
 			go func() {
 				defer c.Close()
-				each(c)
+				handle(c)
 			}()
 		}
 	}()
 }
 
-// ListenLoopback listens on an address of loopback that nobody has.
+// ListenLoopback listens on an unused port of 127.0.0.1.
 func ListenLoopback() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,16 +93,16 @@
 	return l
 }
 
-// AddHost adds a cache host that answers each command with what say returns: bytes, "drop" to close the connection behind them,
-// or "" to stay silent. {id} stands for the op's id.
-func (s *ScriptedFleet) AddHost(name string, say func(words []string) string) {
+// AddHost adds a cache host to Members. The function answer is called with the words of each command and returns the bytes
+// to send; a final "drop" closes the connection after them, an empty string sends nothing, and {id} stands for the op's id.
+func (s *ScriptedFleet) AddHost(name string, answer func(words []string) string) {
 	l := ListenLoopback()
 	s.Members = append(s.Members, MemberJSON(name, l.Addr().String(), KindHost, InService))
-	s.ServeHost(name, l, say)
+	s.ServeHost(name, l, answer)
 }
 
-// ServeHost answers on a listener as Host does; it is for the caller to list the host.
-func (s *ScriptedFleet) ServeHost(name string, l net.Listener, say func(words []string) string) {
+// ServeHost runs a host like AddHost, but on the given listener and without adding it to Members.
+func (s *ScriptedFleet) ServeHost(name string, l net.Listener, answerCommand func(words []string) string) {
 	s.Serve(l, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			line, err := r.ReadString('\n')
@@ -117,14 +117,14 @@
 			if err := skipValue(r, words); err != nil {
 				return
 			}
-			s.attempted(commandAttempt(name, words, lastReceived(c)))
+			s.addAttempt(commandAttempt(name, words, lastReceived(c)))
 			s.Notef("%s: %s", name, strings.TrimSpace(line))
-			answer := strings.ReplaceAll(say(words), "{id}", strings.TrimPrefix(words[3], "O"))
-			last := strings.HasSuffix(answer, "drop")
+			reply := strings.ReplaceAll(answerCommand(words), "{id}", strings.TrimPrefix(words[3], "O"))
+			last := strings.HasSuffix(reply, "drop")
 			if last {
-				cork(c)
+				corkConn(c)
 			}
-			io.WriteString(c, strings.TrimSuffix(answer, "drop"))
+			io.WriteString(c, strings.TrimSuffix(reply, "drop"))
 			if last {
 				return
 			}
@@ -132,43 +132,45 @@
 	})
 }
 
-// skipValue reads the value that follows the line of a write, and its line end.
+// skipValue discards the value and line end that follow the command line of a write.
 func skipValue(r *bufio.Reader, words []string) error {
 	if words[0] != "ms" {
 		return nil
 	}
 	length, err := strconv.Atoi(words[2])
-	if err != nil || length < 0 || length > longestValue {
+	if err != nil || length < 0 || length > maxValueBytes {
 		return fmt.Errorf("length %.20q", words[2])
 	}
 	_, err = r.Discard(length + len("\r\n"))
 	return err
 }
 
-// cork has the end of a connection come with its last bytes, not some time behind them.
-func cork(c net.Conn) {
+// corkConn sets TCP_CORK, so that the end of the connection is sent together with its last bytes.
+func corkConn(c net.Conn) {
 	if raw, err := c.(*net.TCPConn).SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_CORK, 1) })
 	}
 }
 
-// AddOrigin adds the origin.
+// AddOrigin adds an origin with the given HTTP handler to Members.
 func (s *ScriptedFleet) AddOrigin(handle func(w http.ResponseWriter, r *http.Request)) {
 	l := ListenLoopback()
 	s.Members = append(s.Members, MemberJSON("log", l.Addr().String(), KindOrigin, InService))
 	s.ServeOrigin(l, handle)
 }
 
-// ServeOrigin answers on a listener as Origin does; it is for the caller to list the origin.
+// ServeOrigin runs an origin like AddOrigin, but on the given listener and without adding it to Members.
 func (s *ScriptedFleet) ServeOrigin(l net.Listener, handle func(w http.ResponseWriter, r *http.Request)) {
 	s.Closers = append(s.Closers, l)
 	server := &http.Server{
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connection{}, c) },
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(r.Body)
 			if err == nil {
-				came := lastReceived(r.Context().Value(connection{}).(net.Conn))
-				s.attempted(newAttempt(OriginID, r.Header.Get("X-Request-ID"), r.Method, r.Header.Get("X-Attrs"), came))
+				receivedAt := lastReceived(r.Context().Value(connContextKey{}).(net.Conn))
+				s.addAttempt(newAttempt(OriginID, r.Header.Get("X-Request-ID"), r.Method, r.Header.Get("X-Attrs"), receivedAt))
 			}
 			if len(body) > 100 {
 				body = []byte(fmt.Sprint(len(body), " bytes"))
@@ -180,27 +182,28 @@
 	go server.Serve(l)
 }
 
-// connection is the key of a request's connection in its context.
-type connection struct{}
+// connContextKey is the context key of a request's connection.
+type connContextKey struct{}
 
-// MemberJSON is a member in discovery's form.
+// MemberJSON returns a member in the JSON format of discovery.
 func MemberJSON(id, address, kind, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":%q,"cell":0,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, address, kind, phase)
 }
 
-// HostListJSON is a list of members in discovery's form.
+// HostListJSON returns a list of members, each from MemberJSON, in the JSON format of discovery.
 func HostListJSON(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// ServeDiscovery starts a list service under a name, and returns its address.
+// ServeDiscovery starts a discovery service and returns its address. It answers each request with the next of WatchAnswers. If
+// there is none, a request with wait=1 gets an empty change, and others wait. Notes name the service by the given name.
 func (s *ScriptedFleet) ServeDiscovery(name string) string {
 	l := ListenLoopback()
 	s.Closers = append(s.Closers, l)
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked := r.URL.Query()
-		s.Notef("%s: %s", name, asked.Get("index"))
+		query := r.URL.Query()
+		s.Notef("%s: %s", name, query.Get("index"))
 		w.Header().Set("Content-Type", "application/json")
 		select {
 		case l := <-s.WatchAnswers:
@@ -210,7 +213,7 @@
 			}
 			io.WriteString(w, l)
 		case <-time.After(time.Millisecond):
-			if asked.Get("wait") != "1" {
+			if query.Get("wait") != "1" {
 				select {
 				case l := <-s.WatchAnswers:
 					io.WriteString(w, l)
@@ -218,13 +221,13 @@
 				}
 				return
 			}
-			fmt.Fprintf(w, `{"revision":%s,"complete":false,"members":[]}`, asked.Get("index"))
+			fmt.Fprintf(w, `{"revision":%s,"complete":false,"members":[]}`, query.Get("index"))
 		}
 	}))
 	return l.Addr().String()
 }
 
-// Close ends all that listens.
+// Close closes all Closers, among them all listeners.
 func (s *ScriptedFleet) Close() {
 	for _, c := range s.Closers {
 		c.Close()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,10 +1,10 @@
-// Package standin stands in for what a balancer speaks to: cache hosts, their origin, and discovery. All are played in this
-// process, on loopback, and misbehave on demand. They are simulated servers: what they hold lies in memory, and their work
-// is waiting.
+// Package standin provides simulated servers for tests of balancers: cache hosts, their origin and discovery. They run in this
+// process on loopback addresses, keep their data in memory, simulate work by waiting, and inject faults on demand.
 //
-// A Fleet joins them, as the real ones are joined behind the balancers' backs: what the origin has answered is kept by the
-// hosts that missed for that op, and a write voids all copies of its key. Every push that reaches a host or the origin is
-// noted as a Run, and every list that goes out as a Told, for checkers that judge balancers from outside.
+// In a Fleet they work together as real servers do: the origin's answer is cached by the hosts that missed for the same op,
+// and a write invalidates all copies of its key. A Fleet records each push that reaches a host or the origin (ReceivedPush)
+// and each list that discovery sends (SentList), so that checkers can judge balancers from outside. A ScriptedFleet runs
+// servers whose answers are scripted by a test.
 package standin
 
 import (
@@ -15,81 +15,82 @@
 	"time"
 )
 
-// ReceivedPush is a push as a host or the origin saw it. Times are since the fleet's start.
+// ReceivedPush is a push that a host or the origin received. Times are relative to the start of the fleet.
 type ReceivedPush struct {
-	Host        string
-	ClientIP    string // address that its connection came from, without the port
-	OpID        string // of the op
+	Host        string // id of the host, or OriginID
+	ClientIP    string // remote address of its connection, without the port
+	OpID        string
 	Key         string
 	Category    string
-	DedupMark   string // against repeats, of a deduplicated op
+	DedupMark   string // identifies repeats of a deduplicated op; empty for others
 	Write       bool
-	ReceivedAt  time.Duration // when its last byte had come
-	Deadline    time.Duration // when the balancer stops waiting, as it says
-	Executed    bool          // it was carried out; else turned away, or missed
-	Cold        bool          // the host was not warm yet
-	CausedCrash bool          // it pushed a cold host over
+	ReceivedAt  time.Duration // after its last byte
+	Deadline    time.Duration // when the balancer stops waiting, according to the push
+	Executed    bool          // not rejected; at a host: a read that hit the cache
+	Cold        bool          // the host was still warming up
+	CausedCrash bool          // its load made the cold host crash
 }
 
-// SentList is a list as discovery wrote it to a balancer.
+// SentList is a host list that discovery sent to a balancer.
 type SentList struct {
-	View     string // the view's name
-	SentAt   time.Duration
+	View     string        // name of the balancer's view
+	SentAt   time.Duration // since the start of the fleet
 	Revision uint64
-	Phases   map[string]string // by host: what this list says; a host that it does not name keeps its phase unless Whole
-	Complete bool
+	Phases   map[string]string // phase by host id; hosts that a partial list does not name keep their phases
+	Complete bool              // the list names all hosts
 }
 
-// Fleet is all of them together.
+// Fleet is a set of simulated cache hosts with an origin and a discovery service.
 type Fleet struct {
 	Origin    *Origin
 	Discovery *Discovery
-	began     time.Time
+	startTime time.Time
 
-	mu     sync.Mutex
-	hosts  []*Host
-	missed map[string][]*Host // by op, for the origin's answer
-	runs   []ReceivedPush
-	told   []SentList
+	mu        sync.Mutex
+	hosts     []*Host
+	missedBy  map[string][]*Host // hosts that missed, by op id; they cache the origin's answer
+	pushes    []ReceivedPush
+	sentLists []SentList
 }
 
-// NewFleet makes a fleet with an origin and discovery. What they do by chance follows from the seed.
-func NewFleet(seed uint64, origin Capacity) (*Fleet, error) {
-	f := &Fleet{began: time.Now(), missed: map[string][]*Host{}}
-	f.Discovery = &Discovery{fleet: f, revision: 1, members: map[string][]Member{}, news: make(chan struct{})}
+// NewFleet starts an origin of the given capacity and a discovery service; hosts are added by AddHost. The seed determines the
+// origin's random behavior. It fails if the capacity is invalid or the origin cannot listen.
+func NewFleet(seed uint64, originCapacity Capacity) (*Fleet, error) {
+	f := &Fleet{startTime: time.Now(), missedBy: map[string][]*Host{}}
+	f.Discovery = &Discovery{fleet: f, revision: 1, history: map[string][]Member{}, changed: make(chan struct{})}
 	var err error
-	f.Origin, err = newOrigin(f, seed, origin)
+	f.Origin, err = newOrigin(f, seed, originCapacity)
 	return f, err
 }
 
-// Elapsed is the time since the fleet's start.
-func (f *Fleet) Elapsed() time.Duration { return time.Since(f.began) }
+// Elapsed returns the time since the start of the fleet.
+func (f *Fleet) Elapsed() time.Duration { return time.Since(f.startTime) }
 
-// StartTime is the fleet's start.
-func (f *Fleet) StartTime() time.Time { return f.began }
+// StartTime returns when the fleet was started.
+func (f *Fleet) StartTime() time.Time { return f.startTime }
 
-// Hosts are the cache hosts, in the order of adding.
+// Hosts returns the cache hosts in the order in which they were added.
 func (f *Fleet) Hosts() []*Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.hosts)
 }
 
-// ReceivedPushes are all pushes so far, in the order in which they came.
+// ReceivedPushes returns all pushes so far, in the order of their arrival.
 func (f *Fleet) ReceivedPushes() []ReceivedPush {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.runs)
+	return slices.Clone(f.pushes)
 }
 
-// SentLists are all lists so far, in the order in which they were written.
+// SentLists returns all lists so far, in the order in which they were sent.
 func (f *Fleet) SentLists() []SentList {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.told)
+	return slices.Clone(f.sentLists)
 }
 
-// Close ends them all.
+// Close stops all servers.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts() {
 		h.Kill()
@@ -98,38 +99,40 @@
 	f.Discovery.close()
 }
 
-func (f *Fleet) note(r ReceivedPush) {
+// recordPush adds a received push.
+func (f *Fleet) recordPush(push ReceivedPush) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.runs = append(f.runs, r)
+	f.pushes = append(f.pushes, push)
 }
 
-func (f *Fleet) miss(op string, h *Host) {
+// recordMiss notes that a host missed for an op, so that it caches the origin's answer.
+func (f *Fleet) recordMiss(opID string, h *Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.missed[op] = append(f.missed[op], h)
+	f.missedBy[opID] = append(f.missedBy[opID], h)
 }
 
-// store has the hosts that missed for an op keep the value, two at the most.
-func (f *Fleet) store(op, key, value string) {
+// fillMissed stores a value in the first two hosts that missed for an op.
+func (f *Fleet) fillMissed(opID, key, value string) {
 	f.mu.Lock()
-	hosts := f.missed[op]
-	delete(f.missed, op)
+	hosts := f.missedBy[opID]
+	delete(f.missedBy, opID)
 	f.mu.Unlock()
 	for _, h := range hosts[:min(len(hosts), 2)] {
-		h.keep(key, value)
+		h.putValue(key, value)
 	}
 }
 
-// void drops all copies of a key.
-func (f *Fleet) void(key string) {
+// invalidate removes a key from the caches of all hosts.
+func (f *Fleet) invalidate(key string) {
 	for _, h := range f.Hosts() {
-		h.drop(key)
+		h.removeValue(key)
 	}
 }
 
-// from is a connection's other end without its port.
-func from(address string) string {
+// clientIP returns an address without its port.
+func clientIP(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return address
@@ -137,16 +140,18 @@
 	return host
 }
 
-// Capacity is what a server can do.
+// Capacity limits the work of a server.
 type Capacity struct {
-	ServiceTime time.Duration // of one op; spread evenly over half to one and a half of it
-	Slots       int           // ops at work at once
-	QueueLimit  int           // that wait for a slot; beyond it ops are turned away
+	ServiceTime time.Duration // mean service time of an op; uniformly distributed between half and one and a half of it
+	Slots       int           // ops executed at the same time
+	QueueLimit  int           // ops that may wait for a slot; further ones are rejected
 }
 
-func (w Capacity) check() error {
-	if w.ServiceTime < 0 || w.Slots < 1 || w.QueueLimit < 0 {
-		return fmt.Errorf("work: takes %v, slots %d, queue %d: want none below 0, and a slot", w.ServiceTime, w.Slots, w.QueueLimit)
+// validate returns an error if a value is negative or there is no slot.
+func (c Capacity) validate() error {
+	if c.ServiceTime < 0 || c.Slots < 1 || c.QueueLimit < 0 {
+		return fmt.Errorf("capacity: service time %v, slots %d, queue limit %d: want at least 0, 1 and 0",
+			c.ServiceTime, c.Slots, c.QueueLimit)
 	}
 	return nil
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// stage is a fleet with one host that works for a millisecond on each op, one at a time.
-func stage(t *testing.T) (*Fleet, *Host) {
+// newTestFleet starts a fleet with one host, h1, that executes one op at a time, with a mean service time of a millisecond.
+func newTestFleet(t *testing.T) (*Fleet, *Host) {
 	f, err := NewFleet(1, Capacity{ServiceTime: time.Millisecond, Slots: 2, QueueLimit: 2})
 	if err != nil {
 		t.Fatal(err)
@@ -27,8 +27,9 @@
 	return f, h
 }
 
-// say sends a command to a host on a connection of its own and returns the first line of the answer.
-func say(h *Host, command string) string {
+// sendCommand sends a command to a host on a new connection. It returns the first line of the answer, or "refused", "silent" or
+// "reset".
+func sendCommand(h *Host, command string) string {
 	c, err := net.Dial("tcp", h.Address())
 	if err != nil {
 		return "refused"
@@ -46,12 +47,12 @@
 	return "reset"
 }
 
-const read = "mg k v O1 Pc=read,d=400"
+const readCommandLine = "mg k v O1 Pc=read,d=400"
 
-// ask asks the origin for a key, or writes it.
-func ask(f *Fleet, method, id string) string {
+// requestOrigin reads or writes the key k at the origin and returns the status and the body, or "reset".
+func requestOrigin(f *Fleet, method, opID string) string {
 	r, _ := http.NewRequest(method, "http://"+f.Origin.Address()+"/k", strings.NewReader("x"))
-	r.Header.Set("X-Request-ID", id)
+	r.Header.Set("X-Request-ID", opID)
 	answer, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return "reset"
@@ -61,17 +62,17 @@
 	return fmt.Sprint(answer.StatusCode, " ", string(text))
 }
 
-// What missed is kept once the origin has answered, and void once it is written.
+// A value that a host missed is cached once the origin has answered, and removed when the key is written.
 func TestMissFetchWrite(t *testing.T) {
-	f, h := stage(t)
+	f, h := newTestFleet(t)
 	var said []string
 	for _, do := range []func() string{
-		func() string { return say(h, read) },
-		func() string { return ask(f, "GET", "1") },
-		func() string { return say(h, read) },
-		func() string { return ask(f, "PUT", "w") },
-		func() string { return say(h, read) },
-		func() string { return ask(f, "GET", "1") },
+		func() string { return sendCommand(h, readCommandLine) },
+		func() string { return requestOrigin(f, "GET", "1") },
+		func() string { return sendCommand(h, readCommandLine) },
+		func() string { return requestOrigin(f, "PUT", "w") },
+		func() string { return sendCommand(h, readCommandLine) },
+		func() string { return requestOrigin(f, "GET", "1") },
 	} {
 		said = append(said, do())
 	}
@@ -88,8 +89,9 @@
 	}
 }
 
-func TestModes(t *testing.T) {
-	_, h := stage(t)
+// Each fault mode has the intended effect, and the host works again afterwards.
+func TestFaultModes(t *testing.T) {
+	_, h := newTestFleet(t)
 	for _, c := range []struct {
 		mode FaultMode
 		want string
@@ -98,7 +100,7 @@
 		{FaultMode{SlowFactor: 500}, "silent"}, {FaultMode{}, "EN O1"},
 	} {
 		h.SetFaultMode(c.mode)
-		if got := say(h, read); got != c.want {
+		if got := sendCommand(h, readCommandLine); got != c.want {
 			t.Errorf("%+v: %q, want %q", c.mode, got, c.want)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -110,31 +112,31 @@
 	}
 	defer c.Close()
 	time.Sleep(20 * time.Millisecond)
-	if got := say(h, read); got != "SERVER_ERROR busy" {
-		t.Errorf("a full table: %q", got)
+	if got := sendCommand(h, readCommandLine); got != "SERVER_ERROR busy" {
+		t.Errorf("above the connection limit: %q", got)
 	}
 }
 
-// A host that comes back is empty and cold, and falls when it is sent too much before it is warm; it stays down.
-func TestPushedOver(t *testing.T) {
-	f, h := stage(t)
+// A restarted host is cold and crashes under too many pushes; it stays down.
+func TestColdHostOverload(t *testing.T) {
+	f, h := newTestFleet(t)
 	h.Kill()
-	if got := say(h, read); got != "refused" {
-		t.Fatalf("dead: %q", got)
+	if got := sendCommand(h, readCommandLine); got != "refused" {
+		t.Fatalf("killed host: %q", got)
 	}
 	if err := h.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for range 60 {
-		go say(h, read)
+		go sendCommand(h, readCommandLine)
 	}
 	for end := time.Now().Add(2 * time.Second); !h.HasCrashed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it stands")
+			t.Fatal("the host did not crash")
 		}
 	}
-	if got := say(h, read); got != "refused" {
-		t.Errorf("fallen: %q", got)
+	if got := sendCommand(h, readCommandLine); got != "refused" {
+		t.Errorf("crashed host: %q", got)
 	}
 	fell := 0
 	for _, r := range f.ReceivedPushes() {
@@ -143,18 +145,18 @@
 		}
 	}
 	if fell != 1 {
-		t.Errorf("fell %d times", fell)
+		t.Errorf("%d pushes caused a crash, want 1", fell)
 	}
 }
 
-// A view shows changes late, and what it showed before until then; a silent service answers once it is not.
+// A delayed view shows the earlier list until the delay has passed; a silent service answers once it is no longer silent.
 func TestLists(t *testing.T) {
-	f, _ := stage(t)
+	f, _ := newTestFleet(t)
 	address, err := f.Discovery.ServeView("b1", func(m Member) string { return "127.0.0.9:" + strings.Split(m.Address, ":")[1] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := func(query string) string {
+	fetchList := func(query string) string {
 		answer, err := http.Get("http://" + address + "/discovery/hosts" + query)
 		if err != nil {
 			return err.Error()
@@ -171,33 +173,33 @@
 		}
 		return text
 	}
-	see := func(query, want string) {
+	expectList := func(query, want string) {
 		t.Helper()
-		if got := list(query); got != want {
+		if got := fetchList(query); got != want {
 			t.Errorf("got  %s\nwant %s", got, want)
 		}
 	}
-	see("", "true h1 in_service origin in_service")
+	expectList("", "true h1 in_service origin in_service")
 	f.Discovery.SetDelay(100 * time.Millisecond)
 	f.Discovery.SetPhase("h1", Terminating, 0)
-	see("", "true h1 in_service origin in_service")
-	see("?index=3&wait=1000", "false h1 terminating")
+	expectList("", "true h1 in_service origin in_service")
+	expectList("?index=3&wait=1000", "false h1 terminating")
 	f.Discovery.SetDelay(0)
 	f.Discovery.SetPhase("h1", Terminated, 0)
-	see("", "true origin in_service")
-	see("?index=4&wait=10", "false h1 terminated")
-	see("?index=5&wait=10", "false")
+	expectList("", "true origin in_service")
+	expectList("?index=4&wait=10", "false h1 terminated")
+	expectList("?index=5&wait=10", "false")
 	f.Discovery.SetSilent(true)
 	time.AfterFunc(50*time.Millisecond, func() { f.Discovery.SetSilent(false) })
 	began := time.Now()
-	see("?index=5&wait=1", "false")
+	expectList("?index=5&wait=1", "false")
 	if took := time.Since(began); took < 50*time.Millisecond {
-		t.Errorf("it was silent for %v", took)
+		t.Errorf("answered after %v, want at least 50 ms", took)
 	}
-	if told := f.SentLists(); len(told) != 7 || told[2].Phases["h1"] != Terminating || told[2].View != "b1" {
-		t.Errorf("told: %+v", told)
+	if sent := f.SentLists(); len(sent) != 7 || sent[2].Phases["h1"] != Terminating || sent[2].View != "b1" {
+		t.Errorf("sent lists: %+v", sent)
 	}
 	if err := f.Discovery.SetPhase("h9", Terminated, 0); err == nil {
-		t.Error("a member that is not there")
+		t.Error("no error for an unknown member")
 	}
 }
