--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,10 +1,10 @@
-// Package balance holds every decision of the balancer: which host an op goes to, when it is pushed
-// again, held, nacked or dead-lettered, and how hosts are judged. The interface to a front, and the
-// types that pass through it, are defined in port.go.
+// Package balance holds every decision of the balancer: which host an op goes to, when it is pushed again,
+// queued, nacked or dead-lettered, how hosts are judged, and how many pushes may be in flight.
 //
-// A front makes one Balancer an instance with New. It calls At with the time before each round of
-// input, then a method for each thing that happened: List, ListFailed, Arrive, Streaming, Ended, Left
-// and Woke. The Balancer answers by calling the Port, from within those calls only.
+// Each instance makes one Balancer with New. Before each round of input, its frontend calls Advance with the
+// time, and then one method per event: HostsListed, HostListFailed, OpArrived, PushStarted, StreamingStarted,
+// PushEnded, ClientLeft and TimerFired. The Balancer acts by calling the Frontend, from within those calls
+// only. It is not safe for concurrent use. Times and latencies are in ms.
 package balance
 
 import (
@@ -17,234 +17,269 @@
 )
 
 const (
-	pointsPerHost = 100   // places on the cycle of a host of usual size; evens shares out to about a tenth
-	boundFactor   = 1.5   // 1+ε, the talk's example factor
-	boundFloor    = 2     // pushes; below this a host is never full
-	sweepInterval = 100.0 // ms between two looks at all hosts: little beside warming, rests and idle times
-	tickInterval  = 10.0  // ms, the timer's period while ops are held, and part of each margin
-
-	slowEWMAWeight = 0.05 // weight of a new latency in a category's average, or of an end in a strand's: about 20 ops
-	fastEWMAWeight = 0.2  // weight of a new outcome in a host's or their gate's averages: about 5 ops
-
-	smallGroupSize       = 3.0    // balancers at which twice the usual latency counts twice; more see less each
-	overloadedSlowdown   = 4.0    // what a push turned away counts as, in usual latencies: a full host is a crowded one
-	slowdownGain         = 2.0    // to one, how a slow host's excess becomes the part of its keys that it loses
-	fleetBusyThreshold   = 0.85   // part of their cores' time that all hosts say is taken where there is no room
-	overloadedThreshold  = 0.25   // part turned away of pushes that walked on where ops make way; at twice that all
-	slowdownSlack        = 0.25   // usual latencies above those of all hosts that chance explains
-	suspectThreshold     = 0.25   // smoothed failures above which a host is suspect: one fresh failure does it
-	failureWeight        = 0.3    // weight of a fresh failure, just over failFrom
-	baseEjectTime        = 250.0  // ms off the walk after a first failure, about what a short stall lasts
-	maxEjectTime         = 4000.0 // ms; a healed host is tried again no later than this
-	ejectConnectMultiple = 20.0   // times what a failed connect took that a host rests at most
-	probesPerOp          = 0.01   // ops, for each that comes, that may find a suspect host still bad: many others try it
-	maxTokens            = 3.0    // of these that may do so together; of second copies, too
-	maxEjectedShare      = 0.8    // part of the hosts that may rest at once; beyond it the evidence is in doubt
-
-	noFloorTime = 60000.0 // ms after a host in use went down without a floor to the bound: a wave of restarts
-	inUseTime   = 15000.0 // ms since its last answer in which a host counts as in use: lists are so late
-
-	recheckFactor  = 1.0 // first waits more after which a push that was left is called off all the same
-	zoneBusyMargin = 0.1 // by how much more the own zone's hosts have to be busy for keys to leave it
-	zoneBusyMin    = 0.6 // and so busy at the least: below, they have room
-
-	crossZoneStep  = 0.1  // part of the keys that a late fetch puts there, or a full table takes off
-	crossZoneDecay = 0.01 // part of these that an answer takes back
-
-	hedgeDevs          = 3.0 // mean deviations above the usual latency at which a second copy is sent
-	hedgeRecheckFactor = 0.5 // first waits more after which it is where the host answers others: the op may be heavy
-	hedgesPerOp        = 0.1 // second copies an op: more would be much of a slow fleet's load
-
-	flowFailMargin   = 0.4 // by how much more of its ops than of all has to come to nothing for it to be held apart
-	failingFlowShare = 0.1 // part of what the hosts' gate lets out, or of reply slots, that it may have then
-
-	errorRepeatThreshold = 0.8 // smoothed part of errors that a second host repeats above which one host's word is enough
-	errorRetryShare      = 0.1 // part of ops that are put to a second host all the same, so that it is seen when that ends
-
-	keyBuckets       = 1024   // of counts of ops by key: few of an instance's keys share one
-	hotKeyBusyLimit  = 0.9    // part of its cores' time that a busy key's host may have taken, where hosts tell
-	keyCountHalfLife = 5000.0 // ms between two halvings of these counts: a busy key lasts for some seconds
-
-	checkDelayDevs     = 5.0  // mean deviations above the usual latency at which a push is looked at
-	fleetSilenceShare  = 0.1  // of its target for which a push is left where all hosts are as silent
-	minCheckDelayShare = 0.02 // of its target: a call-off costs a connection, and gains nothing where there is time
-
-	inputWaitShare    = 0.2        // of the shortest target for which input may wait: answers may have to wait as long
-	minInputWaitShare = 1.0 / 16   // part of that below which one wait is like another
-	maxAdmitFactor    = 2.0        // factor, the most by which the part of ops taken changes at once
-	minAdmitShare     = 1.0 / 1024 // least part of the ops that are taken
-
-	fleetCongestionGoal   = 0.5     // smoothed latency over target above which a gate narrows: most answers just in time
-	originCongestionGoal  = 0.3     // the same for the origin, whose latency comes on top of a miss
-	limitDecrease         = 0.85    // factor of one narrowing
-	mediumEWMAWeight      = 0.1     // weight of a new latency of the origin, or of a report in its zone's: 10 answers
-	fewOutcomesWeight     = 0.5     // the same at a gate that turns ops away by chance: two answers tell
-	originFullDecrease    = 0.5     // factor of one narrowing while the origin answers nobody for a target
-	originFullCongestion  = 2.0     // targets that a fetch counts as having waited then: it is told by few outcomes
-	limitDecreaseInterval = 100.0   // ms between two narrowings, so that the first can show
-	randomShedCongestion  = 0.5     // smoothed latency over target above which a gate turns ops away by chance
-	limitRecoveryTime     = 14000.0 // ms in which it lets out all again by itself
-	fleetMinPerHost       = 2.0     // pushes a host, of all balancers, that the hosts' gate lets out at least
-	fleetInitialPerHost   = 16.0    // pushes a host, of all balancers, that the hosts' gate starts with
-	originInitialPerHost  = 1.5     // fetches a host, of all balancers, that the origin's gate starts with
-	originMinInitialLimit = 4.0     // fetches that the origin's gate starts with at the least: own ops tell of no other's
-	originSilenceTime     = 200.0   // ms, a fetch's time, without an outcome: the origin's gate opens by itself
-	originMinLimit        = 2.0     // fetches, of all balancers, that it lets out at least
-
-	coldBudgetShare = 0.5    // part of the tipping load that all may send a cold host in a span; two can touch
-	pushRateWindow  = 2000.0 // ms over which the usual rate of pushes is averaged
-
-	idleTimeoutDecrease = 0.8 // factor of the time idle connections are kept, when one cannot be made
-	idleTimeoutIncrease = 1.2 // the same when one is made: four in ten may fail, for a handshake costs more
-
-	baseConnBackoff = 1000.0 // ms in which no new connection is tried to a host whose table of them was full
-	maxConnBackoff  = 8000.0 // ms, the longest such wait: places come free as others hang up
-
-	listRetryDelay  = 500.0  // ms until a failed list call is repeated, spread by as much again; then twice that
-	listTimeout     = 3000.0 // ms after which an unanswered call counts as failed: it takes its turn, a second or so
-	listRetryWindow = 4500.0 // ms from a failed call to the next: changes count as told after 6 s, 1.5 for an answer
-
-	settleMarginQuanta = 2.0 // quanta before its TTL at which an op is settled, beside one tick
-	maxTenantTokens    = 8.0 // ops that a tenant may be ahead of its part of those acked: chance sends some together
+	// Consistent hashing with bounded loads, and periodic work.
+	pointsPerHost = 100   // points on the cycle of a host of usual size; shares differ by about a tenth
+	boundFactor   = 1.5   // 1+ε
+	boundFloor    = 2     // pushes; least bound
+	sweepInterval = 100.0 // ms between two sweeps over all hosts
+	tickInterval  = 10.0  // ms, period of the timer while ops are queued, and part of each margin
+
+	// Weights of a new sample in smoothed values.
+	slowEWMAWeight   = 0.05 // about 20 samples
+	mediumEWMAWeight = 0.1  // about 10 samples
+	fastEWMAWeight   = 0.2  // about 5 samples
+
+	// Outlier detection and ejection.
+	suspectThreshold     = 0.25   // failure rate above which a host is suspect: one failure is enough
+	failureWeight        = 0.3    // EWMA weight of a failure; just above suspectThreshold
+	baseEjectTime        = 250.0  // ms, a first ejection; about as long as a short stall
+	maxEjectTime         = 4000.0 // ms
+	ejectConnectMultiple = 20.0   // longest ejection after a failed connect, in multiples of its duration
+	maxEjectedShare      = 0.8    // share of hosts ejected above which ejections are ignored
+	probesPerOp          = 0.01   // ops that may probe a suspect host, per op; other balancers probe it too
+	maxTokens            = 3.0    // burst of probes, and of hedges
+
+	// Slow hosts.
+	smallGroupSize     = 3.0  // balancers; in a larger group, each sees too little of a host's load itself
+	overloadedSlowdown = 4.0  // slowdown that an Overloaded outcome counts as
+	slowdownGain       = 2.0  // how strongly excess slowdown moves keys away from a host
+	slowdownSlack      = 0.25 // slowdown above the fleet's average that chance explains
+
+	// Load shedding in a full fleet.
+	fleetBusyThreshold  = 0.85 // share of all hosts' core time in use above which the fleet counts as full
+	overloadedThreshold = 0.25 // overloadedRate at which ops start to be shed; at twice that all are
+
+	// Bounds without a floor, after a host in use went down: the floor may have overloaded it.
+	noFloorTime = 60000.0 // ms
+	inUseTime   = 15000.0 // ms since its last answer for which a host counts as in use; lists can be that late
+
+	// Share of the keys that ignore zones.
+	zoneBusyMargin = 0.1  // by how much busier than others the own zone's hosts must be for it to grow
+	zoneBusyMin    = 0.6  // how busy the own zone's hosts must be for it to grow
+	crossZoneStep  = 0.1  // change by a late fetch (up) or a reached connection limit (down)
+	crossZoneDecay = 0.01 // change by an answer
+
+	// Hedging.
+	hedgeDevs          = 3.0 // mean deviations above the usual latency after which an op is hedged
+	hedgeRecheckFactor = 0.5 // recheckFactor for hedges
+	hedgesPerOp        = 0.1 // hedges allowed per op, to bound the extra load on a slow fleet
+
+	// Isolation of failing flows.
+	flowFailMargin   = 0.4 // by how much a flow's failure rate must exceed that of all ops
+	failingFlowShare = 0.1 // share of the fleet's limit, or of the reply slots, that a failing flow may use
+
+	// Errors that are the op's fault.
+	errorRepeatThreshold = 0.8 // errorRepeatRate above which an op is not retried after a first error
+	errorRetryShare      = 0.1 // share of ops that are retried all the same, to notice when that changes
+
+	// Hot keys.
+	keyBuckets       = 1024   // of ops counted by key
+	hotKeyBusyLimit  = 0.9    // share of its core time that a hot key's host may use, where hosts report it
+	keyCountHalfLife = 5000.0 // ms after which the counts are halved
+
+	// Checks of pushes that are late.
+	recheckFactor      = 1.0  // wait for a second check, in multiples of the time that the push is out
+	checkDelayDevs     = 5.0  // mean deviations above the usual latency after which a push is checked
+	fleetSilenceShare  = 0.1  // share of the target for which a push is left alone while all hosts are silent
+	minCheckDelayShare = 0.02 // share of the target; cancelling earlier costs a connection for little gain
+
+	// Admission control, by how long input waits in this process.
+	inputWaitShare    = 0.2        // share of the shortest target that input may wait; answers may wait as long
+	minInputWaitShare = 1.0 / 16   // of maxInputWait; shorter waits count as this
+	maxAdmitFactor    = 2.0        // by which admitShare changes at most at once
+	minAdmitShare     = 1.0 / 1024 // least share of ops admitted
+
+	// Concurrency limits. "Of all balancers" values are divided by the number of balancers.
+	fleetCongestionGoal   = 0.5     // latency over target above which the fleet's limit is decreased
+	originCongestionGoal  = 0.3     // the same for the origin, whose latency adds to that of a miss
+	limitDecrease         = 0.85    // factor
+	fewOutcomesWeight     = 0.5     // EWMA weight at limits below 1, where outcomes are rare
+	originFullDecrease    = 0.5     // factor while the origin has answered nobody for a target
+	originFullCongestion  = 2.0     // congestion that a fetch counts as then
+	limitDecreaseInterval = 100.0   // ms between two decreases, so that the first can take effect
+	randomShedCongestion  = 0.5     // congestion above which a limit may fall below 1
+	limitRecoveryTime     = 14000.0 // ms in which a limit without outcomes rises from 0 to 1
+	fleetMinPerHost       = 2.0     // least limit of all balancers, in pushes per host
+	fleetInitialPerHost   = 16.0    // initial limit of all balancers, in pushes per host
+	originInitialPerHost  = 1.5     // initial limit of all balancers, in fetches per host
+	originMinInitialLimit = 4.0     // fetches of this balancer, at the least
+	originSilenceTime     = 200.0   // ms without an outcome after which the origin's limit rises by itself
+	originMinLimit        = 2.0     // fetches of all balancers
+
+	// Slow start.
+	coldBudgetShare = 0.5    // of a cold host's crashing load; two full budgets can fall into one OverloadTime
+	pushRateWindow  = 2000.0 // ms over which pushRate is averaged
+
+	// Idle connections.
+	idleTimeoutDecrease = 0.8 // factor after a failed connect
+	idleTimeoutIncrease = 1.2 // factor after a successful one: balances out at about four failures in ten
+
+	// Backoff from hosts whose connection limit is reached.
+	baseConnBackoff = 1000.0 // ms
+	maxConnBackoff  = 8000.0 // ms
+
+	// Subscription to the host list.
+	listRetryDelay  = 500.0  // ms, first wait after a failed call, plus jitter of as much; doubled once
+	listTimeout     = 3000.0 // ms after which an unanswered call counts as failed
+	listRetryWindow = 4500.0 // ms within which the next call follows a failed one
+
+	settleMarginQuanta = 2.0 // quanta before its TTL at which an op is settled, in addition to one tick
+	maxTenantTokens    = 8.0 // ops that a tenant may be ahead of its share, to absorb bursts
 )
 
-// Balancer decides for one instance.
+// Balancer makes the decisions of one instance.
 type Balancer struct {
 	Config
 	frontend Frontend
-	now      float64
+	now      float64 // ms
 	rng      pcg
 
-	hosts                                []*Host // listed cache hosts, by name
-	readyHosts                           []*Host // those that may be pushed to
-	cycle                                cycle
-	coldUntil                            float64 // ms, when the last of them is warm
-	sizeUnit, totalSize                  float64 // size that gets pointsPerHost places, and the sum of the ready hosts'
-	origins                              []*Host
-	walkCount, ackedCount                int                 // made so far, and ops acked
-	avgBusy, ownZoneBusy, otherZonesBusy float64             // smoothed part of their cores' time that hosts say is taken
-	overloadedRate                       float64             // smoothed part turned away of the pushes of ops that walked on
-	keyCounts                            [keyBuckets]float64 // recent ops by key, halved now and then
-	keyCountSum, keyCountsHalvedAt       float64             // their sum, and ms, when they were halved
-	hedgeTokens                          float64             // second copies that may be sent
-	probeTokens                          float64             // ops that may be sent to suspect hosts while others have room
-	crossZoneShare                       float64             // part of the keys that keep to no zone
-	crossZoneCheap                       bool                // crossing costs no more than a fetch: best all of them
-	lastAnswer, noFloorUntil             float64             // ms, time of the last answer; until when the bound has no floor
-	failRates                            []float64           // of all ready hosts at the last look, in order
-	medianFailRate, errorRepeatRate      float64             // smoothed failures of the middle host; errors that a second repeats
-	ejectedCount, warmAnswers            int                 // ready hosts that rest; answers of warm ones since the last look
-	pushRate                             float64             // pushes a ms for each unit of warm size
-	timerAt, lastSweep                   float64             // ms, when the timer calls next, and when hosts were looked at
-	fetches                              map[string]*fetch
-	keyQueues                            map[string]*keyQueue  // by key, of ordered ops
-	keyFlows                             [keyBuckets]flowStats // by key
-	allOps                               flowStats             // of all ops
-	fleetLimiter, originLimiter          limiter
-	admitShare, inputWait                float64     // of new ops that there is room for; how long input waits, of round
-	maxInputWait, admitAdjustedAt        float64     // ms, how long it may wait, and when that was last looked at
-	coldHostsYielded                     bool        // cold hosts are another process's
-	opTimers, pushTimers                 timers      // at ops, and at pushes
-	avgSlowdown                          float64     // smoothed over all hosts, what slow is smoothed of for each
-	connSetup                            latencyEWMA // that a connection that has to be made adds
-	idleTimeout                          float64     // ms for which an idle connection is kept
-	listPending                          bool        // a call for the list is out
-	listCallAt, listRetryWait            float64     // ms, when it was made or the next is due, and what a failure puts that off
+	hosts      []*Host // listed cache hosts, by name
+	readyHosts []*Host // those that are usable
+	cycle      cycle
+	coldUntil  float64 // ms, when the last of them is warm
+	// Size of a host with pointsPerHost points, and the sum of readyHosts' sizes.
+	sizeUnit, totalSize   float64
+	origins               []*Host
+	walkCount, ackedCount int
+	// Smoothed shares of core time in use, as hosts report them: of all hosts, of the own zone's, of others.
+	avgBusy, ownZoneBusy, otherZonesBusy float64
+	overloadedRate                       float64 // smoothed share of Overloaded among second and later pushes
+	// Recent ops by key, their sum, and the time in ms when both were last halved.
+	keyCounts                      [keyBuckets]float64
+	keyCountSum, keyCountsHalvedAt float64
+	hedgeTokens                    float64 // hedges that may be sent
+	probeTokens                    float64 // probes that may be sent to suspect hosts while others have room
+	crossZoneShare                 float64 // share of the keys that ignore zones
+	crossZoneCheap                 bool    // crossing zones costs no more than a fetch
+	// Time of the last answer, and until when the bound has no floor, in ms.
+	lastAnswer, noFloorUntil float64
+	failRates                []float64 // of readyHosts at the last sweep, sorted
+	// Failure rate of the median host, and the smoothed share of errors that a second host confirms.
+	medianFailRate, errorRepeatRate float64
+	// Ready hosts that are ejected, and answers of warm hosts since the last sweep.
+	ejectedCount, warmAnswers int
+	pushRate                  float64 // answered pushes per ms and unit of warm size
+	// When the timer fires next, and time of the last sweep, in ms.
+	timerAt, lastSweep          float64
+	fetches                     map[string]*fetch    // by key
+	keyQueues                   map[string]*keyQueue // of ordered ops, by key
+	keyFlows                    [keyBuckets]flowStats
+	allOps                      flowStats
+	fleetLimiter, originLimiter limiter // of pushes to cache hosts, and to the origin
+	// Share of new ops admitted, and how long input waits, as a share of maxInputWait.
+	admitShare, inputWait float64
+	// How long input may wait, and when admitShare was last adjusted, in ms.
+	maxInputWait, admitAdjustedAt float64
+	coldHostsYielded              bool   // another process pushes to the cold hosts
+	opTimers, pushTimers          timers // of ops and key queues, and of pushes
+	avgSlowdown                   float64
+	connSetup                     latencyEWMA // latency added by making a connection
+	idleTimeout                   float64     // ms for which an idle connection is kept
+	listPending                   bool        // a call for the host list is unanswered
+	// Time of that call or of the next, and the wait after the next failure, in ms.
+	listCallAt, listRetryWait float64
 }
 
-// New makes the balancer of one instance at time now.
-func New(s Config, port Frontend, now float64) *Balancer {
-	b := &Balancer{Config: s, frontend: port, now: now, rng: pcg(s.Seed), lastSweep: now,
-		fetches: map[string]*fetch{}, keyQueues: map[string]*keyQueue{}, listRetryWait: listRetryDelay, avgSlowdown: 1, idleTimeout: s.ConnIdleTimeout,
-		otherZonesBusy: 1, hedgeTokens: maxTokens, probeTokens: maxTokens, timerAt: math.Inf(1), maxInputWait: math.Inf(1), admitShare: 1}
+// New makes the Balancer of one instance at time now.
+func New(config Config, frontend Frontend, now float64) *Balancer {
+	b := &Balancer{Config: config, frontend: frontend, now: now, rng: pcg(config.Seed), lastSweep: now,
+		fetches: map[string]*fetch{}, keyQueues: map[string]*keyQueue{}, listRetryWait: listRetryDelay,
+		avgSlowdown: 1, idleTimeout: config.ConnIdleTimeout, otherZonesBusy: 1, hedgeTokens: maxTokens,
+		probeTokens: maxTokens, timerAt: math.Inf(1), maxInputWait: math.Inf(1), admitShare: 1}
 	if b.crossZoneCheap = b.CrossZoneCost*(1-1/float64(max(b.ZoneCount, 1))) <= b.FetchCost; b.crossZoneCheap {
 		b.crossZoneShare = 1
 	}
-	b.rng.uniform() // seeds that lie close give numbers that lie close at first
-	b.fleetLimiter = limiter{congestionGoal: fleetCongestionGoal, congestionWeight: fastEWMAWeight, limit: math.Inf(1)}
-	b.originLimiter = limiter{congestionGoal: originCongestionGoal, congestionWeight: mediumEWMAWeight, congestion: originCongestionGoal / 2,
-		minLimit: originMinLimit / float64(s.GroupSize), limit: math.Inf(1)}
-	for _, c := range s.Categories {
+	b.rng.uniform() // the first numbers of similar seeds are similar
+	b.fleetLimiter = limiter{congestionGoal: fleetCongestionGoal, congestionWeight: fastEWMAWeight,
+		limit: math.Inf(1)}
+	b.originLimiter = limiter{congestionGoal: originCongestionGoal, congestionWeight: mediumEWMAWeight,
+		congestion: originCongestionGoal / 2, minLimit: originMinLimit / float64(config.GroupSize),
+		limit: math.Inf(1)}
+	for _, c := range config.Categories {
 		c.avgLatency, c.latencyDev = c.Target/4, c.Target/8
 		b.maxInputWait = math.Max(math.Min(b.maxInputWait, c.Target*inputWaitShare), 2*b.Quantum)
-		b.originLimiter.avgLatency, b.originLimiter.latencyDev = max(b.originLimiter.avgLatency, c.avgLatency), max(b.originLimiter.latencyDev, c.latencyDev)
+		b.originLimiter.avgLatency, b.originLimiter.latencyDev =
+			max(b.originLimiter.avgLatency, c.avgLatency), max(b.originLimiter.latencyDev, c.latencyDev)
 		b.fleetLimiter.avgLatency = b.originLimiter.avgLatency
 	}
 	quotas := 0.0
-	for _, t := range s.Tenants {
+	for _, t := range config.Tenants {
 		quotas += t.Quota
 	}
-	for _, t := range s.Tenants {
+	for _, t := range config.Tenants {
 		t.tokens, t.quotaShare = maxTenantTokens, t.Quota/math.Max(quotas, 1)
 	}
-	if s.ListOnRequest {
+	if config.ListOnRequest {
 		b.subscribe()
 	}
 	b.armTimer(now + tickInterval)
 	return b
 }
 
-// Advance takes the time and does what has fallen due.
+// Advance sets the time, in ms, and settles the ops that are due.
 func (b *Balancer) Advance(now float64) {
 	b.now = now
-	for d, ok := b.opTimers.Due(now); ok; d, ok = b.opTimers.Due(now) {
-		switch op := d.op; {
-		case op == nil: // a key has rested
-			b.startNext(d.keyQueue)
+	for t, ok := b.opTimers.Due(now); ok; t, ok = b.opTimers.Due(now) {
+		switch op := t.op; {
+		case op == nil: // a key queue's quiet time is over
+			b.startNext(t.keyQueue)
 		case op.fetch != nil && op.inFlight > 0 && b.now < b.settleBy(op):
-			b.schedule(&b.opTimers, d, b.settleBy(op)) // late for this op, but what it fetches is kept for others
+			// Too late for this op, but the ops that wait for its fetch can use the result.
+			b.schedule(&b.opTimers, t, b.settleBy(op))
 		default:
 			b.giveUp(op)
 		}
 	}
 }
 
-// ReportInputWait takes word that what is read in this round may have waited for so many ms. Past what one core can do
-// that grows for ever. Then a part of the ops is taken, so that they wait no longer than leaves time to serve
-// them. Whatever slows the process is met alike. After a long stall some ops are turned away needlessly.
-func (b *Balancer) ReportInputWait(late float64) {
+// ReportInputWait tells how many ms the input of this round may have waited. When it waits longer than
+// maxInputWait, this process is overloaded, and Admit accepts a smaller share of the ops, so that those still
+// meet their targets.
+func (b *Balancer) ReportInputWait(wait float64) {
 	if b.now < b.admitAdjustedAt+b.maxInputWait/2 {
 		return
 	}
-	last, now := b.inputWait, math.Max(late/b.maxInputWait, minInputWaitShare)
-	b.inputWait, b.admitAdjustedAt = now, b.now
-	if now > 1 || b.admitShare < 1 { // by how the wait changes, and by how long it is
-		change := math.Sqrt(last / now / math.Sqrt(now))
-		b.admitShare = clamp(b.admitShare*clamp(change, 1/maxAdmitFactor, maxAdmitFactor), minAdmitShare, 1)
+	last, current := b.inputWait, math.Max(wait/b.maxInputWait, minInputWaitShare)
+	b.inputWait, b.admitAdjustedAt = current, b.now
+	if current > 1 || b.admitShare < 1 { // by the trend of the wait and by its length
+		factor := math.Sqrt(last / current / math.Sqrt(current))
+		b.admitShare = clamp(b.admitShare*clamp(factor, 1/maxAdmitFactor, maxAdmitFactor), minAdmitShare, 1)
 	}
 }
 
-// Admit tells whether the own process has room for one more op, by chance; else it is nacked, if need be
-// unread, for reading takes the core from those that are taken, and may come back after backoff ms.
-func (b *Balancer) Admit() (room bool, backoff float64) {
+// Admit tells, at random, whether this process has the capacity for one more op. An op that is not admitted
+// is to be nacked, without parsing it where possible; it may be repeated after backoff ms.
+func (b *Balancer) Admit() (admitted bool, backoff float64) {
 	if b.admitShare == 1 || b.rng.uniform() < b.admitShare {
 		return true, 0
 	}
 	return false, b.backoff(b.maxInputWait / inputWaitShare)
 }
 
-// StopAdmitting takes word that the process ends before another op could be settled. Those that come are nacked.
+// StopAdmitting makes Admit refuse all further ops, as the process ends before one could be settled.
 func (b *Balancer) StopAdmitting() { b.admitShare, b.admitAdjustedAt = 0, math.Inf(1) }
 
-// schedule has d looked at then.
-func (b *Balancer) schedule(all *timers, d *timer, at float64) {
-	all.Set(d, at)
+// schedule sets t in queue to a time in ms.
+func (b *Balancer) schedule(queue *timers, t *timer, at float64) {
+	queue.Set(t, at)
 	b.armTimer(at)
 }
 
-// TimerFired is the timer's call: all periodic work.
+// TimerFired does the periodic work after Frontend.SetTimer: checks late pushes, sweeps the hosts, subscribes
+// to the host list again, and dispatches queued ops.
 func (b *Balancer) TimerFired() {
-	if b.now < b.timerAt-tickInterval/10 { // an earlier call has taken this one's place
+	if b.now < b.timerAt-tickInterval/10 { // superseded by an earlier timer
 		return
 	}
-	// Only now has all been heard that has come: the answer to a push may stand among what a round has read.
-	for d, ok := b.pushTimers.Due(b.now); ok; d, ok = b.pushTimers.Due(b.now) {
-		switch p := d.push; {
+	// Pushes are checked after all input of the round, which may hold their answers.
+	for t, ok := b.pushTimers.Due(b.now); ok; t, ok = b.pushTimers.Due(b.now) {
+		switch p := t.push; {
 		case p.localWait > 0:
 			if p.newConn {
 				p.localWait += b.connSetup.avgLatency + checkDelayDevs*b.connSetup.latencyDev
 			}
-			b.schedule(&b.pushTimers, d, d.At()+p.localWait)
+			b.schedule(&b.pushTimers, t, t.At()+p.localWait)
 			p.localWait = 0
 		case p.Op.state < stateStreaming:
 			b.checkSlowPush(p)
@@ -259,13 +294,14 @@
 	case b.ListOnRequest && !b.listPending && b.now >= b.listCallAt:
 		b.subscribe()
 	}
-	for _, g := range []*limiter{&b.fleetLimiter, &b.originLimiter} {
-		for _, op := range slices.Clone(g.queue) { // those that can no longer be answered in time are given up
-			if op.state == stateQueued && b.now+op.Category.avgLatency+op.Category.latencyDev > op.arrivedAt+op.Category.Target {
+	for _, lim := range []*limiter{&b.fleetLimiter, &b.originLimiter} {
+		for _, op := range slices.Clone(lim.queue) { // abandon those that can no longer meet their target
+			if op.state == stateQueued &&
+				b.now+op.Category.avgLatency+op.Category.latencyDev > op.arrivedAt+op.Category.Target {
 				b.abandonPush(op)
 			}
 		}
-		b.dispatch(g)
+		b.dispatch(lim)
 	}
 	next := min(b.lastSweep+sweepInterval, b.opTimers.Next(), b.pushTimers.Next())
 	if len(b.fleetLimiter.queue)+len(b.originLimiter.queue) > 0 {
@@ -275,7 +311,7 @@
 	b.armTimer(math.Max(next, b.now+tickInterval/10))
 }
 
-// armTimer has the timer call at a time, if it would not before.
+// armTimer makes the timer fire at the given time, in ms, unless it fires earlier.
 func (b *Balancer) armTimer(at float64) {
 	if at < b.timerAt {
 		b.timerAt = at
@@ -283,20 +319,21 @@
 	}
 }
 
-// sweep looks at all hosts. A thousand balancers that did so at each tick took more CPU than their ops.
+// sweep updates what depends on all hosts: warm-up, push rate, hot keys, failure rates and idle connections.
+// span is the time since the last sweep, in ms.
 func (b *Balancer) sweep(span float64) {
 	b.lastSweep = b.now
-	warm := b.totalSize
+	warmSize := b.totalSize
 	if b.now < b.coldUntil+sweepInterval {
 		for _, h := range b.readyHosts {
 			if b.warmth(h) < 1 {
-				warm -= h.Size
+				warmSize -= h.Size
 			}
 			b.activatePoints(h)
 		}
 	}
-	if warm > 0 {
-		b.pushRate += (float64(b.warmAnswers)/span/warm - b.pushRate) * math.Min(1, span/pushRateWindow)
+	if warmSize > 0 {
+		b.pushRate += (float64(b.warmAnswers)/span/warmSize - b.pushRate) * math.Min(1, span/pushRateWindow)
 	}
 	b.warmAnswers = 0
 	if b.now-b.keyCountsHalvedAt > keyCountHalfLife {
@@ -305,7 +342,9 @@
 		for i := range b.keyCounts {
 			b.keyCounts[i] /= 2
 		}
-		maps.DeleteFunc(b.keyQueues, func(_ string, t *keyQueue) bool { return len(t.ops) == 0 && b.now >= t.quietUntil })
+		maps.DeleteFunc(b.keyQueues, func(_ string, q *keyQueue) bool {
+			return len(q.ops) == 0 && b.now >= q.quietUntil
+		})
 	}
 	b.countEjected()
 	if len(b.readyHosts) > 0 {
@@ -317,13 +356,14 @@
 		b.medianFailRate = b.failRates[(len(b.failRates)-1)/2]
 	}
 	b.closeIdleConns()
-	if b.originLimiter.limit < 1 && b.now-b.originLimiter.lastOutcome > originSilenceTime { // no fetch tells that it is well again
+	// Without fetches no outcome would show that the origin has recovered.
+	if b.originLimiter.limit < 1 && b.now-b.originLimiter.lastOutcome > originSilenceTime {
 		b.originLimiter.limit += span / limitRecoveryTime
 	}
 }
 
-// closeIdleConns closes idle connections. A host takes so many and no more: where there are more balancers than
-// that, those that each keeps for its next op shut out the others.
+// closeIdleConns closes connections that were idle for longer than idleTimeout. Hosts accept a limited number
+// of connections; idle ones would keep other balancers out.
 func (b *Balancer) closeIdleConns() {
 	for _, h := range b.readyHosts {
 		if h.connOpen && h.inFlight == 0 && b.now-h.lastPush > b.idleTimeout {
@@ -333,14 +373,14 @@
 	}
 }
 
-// subscribe subscribes to the list.
+// subscribe subscribes to the host list.
 func (b *Balancer) subscribe() {
 	b.listPending, b.listCallAt = true, b.now
 	b.frontend.SubscribeHostList()
 }
 
-// HostListFailed takes word that a call for the list failed or the watch broke. The next waits a spread time,
-// so not all ask together, but is soon after the call: discovery may have been back from just after it on.
+// HostListFailed tells that a call for the host list failed or the subscription ended. The next call follows
+// after a jittered wait, which is short enough to meet listRetryWindow.
 func (b *Balancer) HostListFailed() {
 	left := listRetryWindow
 	if b.listPending {
@@ -350,7 +390,8 @@
 	b.listRetryWait = math.Min(b.listRetryWait*2, listRetryDelay*2)
 }
 
-// HostListMoved takes word that the list is told elsewhere now, or the watch silent. It is asked for at once.
+// HostListMoved tells that the host list has another source now, or that the subscription is silent. The
+// Balancer subscribes again at once.
 func (b *Balancer) HostListMoved() {
 	if b.ListOnRequest {
 		b.listRetryWait = listRetryDelay
@@ -358,56 +399,59 @@
 	}
 }
 
-// HostsListed takes news of hosts: the whole list, or changes to it. A saved list answers no call.
-func (b *Balancer) HostsListed(entries []HostEntry, whole, saved bool) {
+// HostsListed takes a host list: a complete one, or changes to the last one. One that was saved earlier
+// (saved) does not answer a pending call.
+func (b *Balancer) HostsListed(entries []HostEntry, complete, saved bool) {
 	if !saved {
 		b.listPending, b.listCallAt, b.listRetryWait = false, math.Inf(1), listRetryDelay
 	}
-	if whole {
+	if complete {
 		for _, h := range slices.Concat(b.hosts, b.origins) {
 			h.Status = Gone
 		}
 	}
 	for _, e := range entries {
-		h, set := e.Host, &b.hosts
+		h, hosts := e.Host, &b.hosts
 		if h.IsOrigin {
-			set = &b.origins
+			hosts = &b.origins
 		}
-		// A new process: what was learned of the old one is void. Stamps that are off may go back.
+		// Another UpSince means a restarted host. Where clocks differ, it may also be an earlier one.
 		if e.UpSince > h.UpSince || b.UpSinceSkew > 0 && e.UpSince != h.UpSince {
 			b.noteHostDown(h)
 			h.connOpen, h.connUnproven, h.coldBudget, h.coldBudgetSince = false, false, 0, 0
 			h.resetHealth()
 		}
 		h.Listing = e.Listing
-		if !slices.Contains(*set, h) {
-			*set = append(*set, h)
+		if !slices.Contains(*hosts, h) {
+			*hosts = append(*hosts, h)
 		}
 	}
 	b.rebuildCycle()
 }
 
-// SetBanned takes a cache host out of use by hand, or puts it back, whatever lists say. What was learned of it is
-// void, for it is restarted meanwhile; its budget is not, or a moment's ban would fill it again.
-func (b *Balancer) SetBanned(h *Host, on bool) {
-	h.Banned = on
+// SetBanned takes a cache host out of use by an operator's order, or puts it back, whatever the list says. It
+// resets the host's health, but not its cold budget, which a short ban would refill.
+func (b *Balancer) SetBanned(h *Host, banned bool) {
+	h.Banned = banned
 	h.resetHealth()
 	b.rebuildCycle()
 }
 
-// noteHostDown takes word that a host has gone down. In use, it may be for what all balancers had out there.
+// noteHostDown removes the floor of the bound for a while if h was in use: it may have gone down because the
+// floors of all balancers together overloaded it.
 func (b *Balancer) noteHostDown(h *Host) {
 	if !h.IsOrigin && h.lastAnswer > 0 && b.now-h.lastAnswer < inUseTime {
 		b.noFloorUntil = b.now + noFloorTime
 	}
 }
 
-// rebuildCycle puts the ready hosts on the cycle, at places that depend on a host's name and size alone.
+// rebuildCycle puts the usable hosts on the cycle, at points that depend on a host's name and size alone, and
+// adapts the limits to their number.
 func (b *Balancer) rebuildCycle() {
-	gone := func(h *Host) bool { return h.Status == Gone }
+	isGone := func(h *Host) bool { return h.Status == Gone }
 	all := slices.Clone(b.hosts)
-	b.hosts = slices.DeleteFunc(b.hosts, gone)
-	b.origins = slices.DeleteFunc(b.origins, gone)
+	b.hosts = slices.DeleteFunc(b.hosts, isGone)
+	b.origins = slices.DeleteFunc(b.origins, isGone)
 	slices.SortFunc(b.hosts, func(x, y *Host) int { return cmp.Compare(x.Name, y.Name) })
 	b.readyHosts, b.totalSize = b.readyHosts[:0], 0
 	for _, h := range b.hosts {
@@ -417,7 +461,7 @@
 		}
 	}
 	if b.sizeUnit == 0 && len(b.readyHosts) > 0 {
-		// Sizes have no unit. A power of two near their mean is the same at balancers whose lists differ.
+		// The mean size, rounded to a power of two: the same at balancers whose lists differ slightly.
 		b.sizeUnit = math.Exp2(math.Round(math.Log2(b.totalSize / float64(len(b.readyHosts)))))
 	}
 	b.cycle.update(all, func(h *Host) int {
@@ -434,27 +478,28 @@
 	if len(b.readyHosts) == 0 {
 		return
 	}
-	share := float64(len(b.readyHosts)) / float64(b.GroupSize)
-	b.fleetLimiter.minLimit = fleetMinPerHost * share
+	hostsPerBalancer := float64(len(b.readyHosts)) / float64(b.GroupSize)
+	b.fleetLimiter.minLimit = fleetMinPerHost * hostsPerBalancer
 	if math.IsInf(b.fleetLimiter.limit, 1) { // the first list
-		// No host can be sure to hold a connection for each: found out by making them, where that costs little.
+		// Hosts may not hold a connection from each of so many balancers. Where crossing zones is expensive,
+		// keys start in the own zone; recordOutcome raises the share as new connections succeed.
 		if b.GroupSize > len(b.readyHosts) && b.CrossZoneCost >= b.FetchCost {
 			b.crossZoneShare = 0
 		}
-		b.originLimiter.limit = math.Max(originInitialPerHost*share, originMinInitialLimit)
-		b.fleetLimiter.limit = math.Max(1, fleetInitialPerHost*share)
+		b.originLimiter.limit = math.Max(originInitialPerHost*hostsPerBalancer, originMinInitialLimit)
+		b.fleetLimiter.limit = math.Max(1, fleetInitialPerHost*hostsPerBalancer)
 	}
 	b.fleetLimiter.limit = math.Max(b.fleetLimiter.limit, b.fleetLimiter.minLimit)
 	b.countEjected()
 	b.dispatch(&b.fleetLimiter)
 }
 
-// activatePoints lets a host stand on the cycle with as many of its points as it is warm.
+// activatePoints activates the share of a host's points on the cycle that matches its warmth.
 func (b *Balancer) activatePoints(h *Host) {
 	h.activePoints = int(math.Ceil(float64(len(h.pointHashes)) * b.warmth(h)))
 }
 
-// warmth is the share of its capacity that a host surely has by now.
+// warmth returns the share of its capacity that a host has at the least, from ColdCapacity to 1.
 func (b *Balancer) warmth(h *Host) float64 {
 	age := b.now - h.UpSince - b.UpSinceSkew
 	if h.UpSince <= 0 || age >= b.WarmupTime {
@@ -463,25 +508,30 @@
 	return b.ColdCapacity + (1-b.ColdCapacity)*math.Max(age, 0)/b.WarmupTime
 }
 
-// hasColdBudget tells whether a cold host may be pushed to: its budget for a span of TipFor, judged from what warm
-// hosts of its size get from this balancer, so that the parts of all balancers add up. Less than one push is
-// granted by chance: were each of some hundred balancers to send one at once, the host would be pushed over.
+// hasColdBudget tells whether a host is warm or has budget left for a push. The budget of a cold host for a
+// window of OverloadTime follows from what warm hosts of its size get from this balancer, so that the budgets
+// of all balancers add up. Budgets below one push are granted at random, or all balancers would push at once.
 func (b *Balancer) hasColdBudget(h *Host) bool {
-	share := b.warmth(h)
-	if share >= 1 || b.coldHostsYielded {
-		return share >= 1
+	warmth := b.warmth(h)
+	if warmth >= 1 || b.coldHostsYielded {
+		return warmth >= 1
 	}
 	if b.now-h.coldBudgetSince >= b.OverloadTime {
-		// With no warm host to go by, as after all restarted at once, a host takes at least one op after
-		// another: without this floor a fleet that is cold as a whole would be sent nothing for ever.
-		slowest := slices.MaxFunc(b.Categories, func(x, y *Category) int { return cmp.Compare(x.avgLatency, y.avgLatency) })
-		pace := math.Max(b.pushRate*h.Size, 1/(math.Max(slowest.avgLatency, tickInterval)*float64(b.GroupSize)))
+		// A host can always serve one op after another. Without that minimum, a fleet without warm hosts
+		// would never be pushed to.
+		slowest := slices.MaxFunc(b.Categories, func(x, y *Category) int {
+			return cmp.Compare(x.avgLatency, y.avgLatency)
+		})
+		rate := math.Max(b.pushRate*h.Size,
+			1/(math.Max(slowest.avgLatency, tickInterval)*float64(b.GroupSize)))
 		h.coldBudgetSince = b.now
-		h.coldBudget = math.Floor(pace*b.OverloadMultiple*share*coldBudgetShare*b.OverloadTime + b.rng.uniform())
+		h.coldBudget = math.Floor(
+			rate*b.OverloadMultiple*warmth*coldBudgetShare*b.OverloadTime + b.rng.uniform())
 	}
 	return h.coldBudget >= 1
 }
 
+// countEjected updates ejectedCount.
 func (b *Balancer) countEjected() {
 	b.ejectedCount = 0
 	for _, h := range b.readyHosts {
@@ -491,14 +541,14 @@
 	}
 }
 
-// isSuspect tells whether a host fails clearly more than half of all do. Where most lose a part of their
-// answers those have to serve on: the few that lose none could not take it all.
+// isSuspect tells whether a host fails clearly more often than the median host. It is relative because a
+// fleet in which most hosts fail now and then has to serve on.
 func (b *Balancer) isSuspect(h *Host) bool { return h.failRate > suspectThreshold+b.medianFailRate }
 
-// isFull tells whether a host has no room by the bounded-load rule: its count against its bound. Trouble
-// changes them: a resting host is full, a suspect one with anything out, a slow one early if many see it.
+// isFull tells whether a host has no room for op by the rule for bounded loads. mean is the number of pushes
+// in flight per host. Ejected hosts are full, suspect ones with a push in flight, and slow ones earlier.
 func (b *Balancer) isFull(op *Op, h *Host, mean float64) bool {
-	count, bound := float64(h.inFlight), math.Ceil(boundFactor*mean)
+	load, bound := float64(h.inFlight), math.Ceil(boundFactor*mean)
 	if b.now >= b.noFloorUntil {
 		bound = math.Max(bound, boundFloor)
 	}
@@ -514,20 +564,23 @@
 				return true
 			}
 		case h.slowdown > 1:
-			// Others' ops show in a host's latency alone. With a dozen balancers the floor of two each would
-			// let two dozen ops crowd a host before any of them saw it full.
-			count *= 1 + (h.slowdown-1)*float64(b.GroupSize)/smallGroupSize
-			// With a hundred, one each is too many: a push counts on for a while after it has ended.
-			more := math.Max(0, float64(b.GroupSize)/smallGroupSize-1)
-			if b.now < h.lastPush+(h.slowdown-b.avgSlowdown-slowdownSlack)*more*b.fleetLimiter.avgLatency {
+			// The load from other balancers shows in the host's latency alone: the more balancers there are,
+			// the more a slowdown counts.
+			load *= 1 + (h.slowdown-1)*float64(b.GroupSize)/smallGroupSize
+			// With many balancers even one push from each is too many, so pushes are spaced out.
+			excessGroups := math.Max(0, float64(b.GroupSize)/smallGroupSize-1)
+			if b.now < h.lastPush+
+				(h.slowdown-b.avgSlowdown-slowdownSlack)*excessGroups*b.fleetLimiter.avgLatency {
 				return true
 			}
 		}
 	}
-	return count >= bound
+	return load >= bound
 }
 
-// walk goes clockwise from the op's place to the first host that is not full.
+// walk goes clockwise from op's place on the cycle to the first host that is not full and returns it. It
+// passes over hosts outside the zone that op prefers, and over some hosts if op's key is hot, unless there
+// are no others. Hosts that may not accept the push come last. It returns nil if no host has room.
 func (b *Balancer) walk(op *Op) *Host {
 	if len(b.cycle.points) == 0 {
 		return nil
@@ -535,12 +588,12 @@
 	mean := float64(b.fleetLimiter.inFlight+1) / float64(len(b.readyHosts))
 	from := b.cycle.search(op.keyHash)
 	b.walkCount++
-	near, pass := b.prefersOwnZone(op), 0
+	zoned, skip := b.prefersOwnZone(op), 0
 	if spread := b.hotKeySpread(op); spread > 1 {
-		pass = int(b.rng.uniform() * spread)
+		skip = int(b.rng.uniform() * spread)
 	}
-	var spill, doubt *Host
-	left := len(b.readyHosts) // each host is judged once: where most are full its other points cost too much
+	var fallback, lastResort *Host
+	left := len(b.readyHosts) // hosts not seen yet: each is judged once, though it has many points
 	for i := 0; i < len(b.cycle.points) && left > 0; i++ {
 		p := b.cycle.points[(from+i)%len(b.cycle.points)]
 		h := b.cycle.hosts[p.hostIndex]
@@ -551,49 +604,49 @@
 		left--
 		if h != op.failedHost && dedupAllows(op, h) && !b.isFull(op, h, mean) && b.hasColdBudget(h) {
 			switch {
-			case b.isConnLimited(h) || h.ejectTime >= baseEjectTime && b.probeTokens < 1: // where all are, the one that has waited longest
-				if doubt == nil || h.connBackoffUntil < doubt.connBackoffUntil {
-					doubt = h
+			case b.isConnLimited(h) || h.ejectTime >= baseEjectTime && b.probeTokens < 1:
+				if lastResort == nil || h.connBackoffUntil < lastResort.connBackoffUntil {
+					lastResort = h
 				}
-			case near && (h.Zone == b.Zone) != (op.failedHost == nil):
-				spill = cmp.Or(spill, h)
-			case pass <= 0:
+			case zoned && (h.Zone == b.Zone) != (op.failedHost == nil):
+				fallback = cmp.Or(fallback, h)
+			case skip <= 0:
 				return h
 			default:
-				spill = cmp.Or(spill, h)
-				pass--
+				fallback = cmp.Or(fallback, h)
+				skip--
 			}
 		}
 	}
-	return cmp.Or(spill, doubt)
+	return cmp.Or(fallback, lastResort)
 }
 
-// hotKeySpread is over how many hosts a key's ops have to go so that none gets more than the bound allows of what
-// this balancer sends. With more hosts than ops out the bound never binds, and a busy key would be one host's
-// at all balancers. It counts recent ops, less the one that chance alone would bring.
+// hotKeySpread returns over how many hosts the ops of op's key have to be spread so that none gets more than
+// the bound allows of this balancer's recent ops. The bound itself does not limit hot keys while fewer pushes
+// than hosts are in flight. One op is not counted, as chance alone would bring it.
 func (b *Balancer) hotKeySpread(op *Op) float64 {
 	if !b.AllowHedging {
 		return 0
 	}
 	bound := boundFactor
-	if b.avgBusy > 0 { // hosts tell how much more they can take
+	if b.avgBusy > 0 { // hosts report how much more load they can take
 		bound = math.Max(bound, hotKeyBusyLimit/b.avgBusy)
 	}
 	return (b.keyCounts[op.keyHash%keyBuckets] - 1) / b.keyCountSum * float64(len(b.readyHosts)) / bound
 }
 
-// prefersOwnZone tells whether op keeps to its balancer's zone while a host there has room. From one that failed it, it
-// goes to another zone's first host: there that zone's balancers keep the key.
+// prefersOwnZone tells whether op stays in its balancer's zone while a host there has room. After a failure
+// it goes to the first host of another zone, which holds the key for that zone's balancers.
 func (b *Balancer) prefersOwnZone(op *Op) bool {
 	return b.Zone >= 0 && b.ZoneCount > 1 && hashFraction(op.keyHash) >= b.crossZoneShare
 }
 
-// isConnLimited tells whether a host's table of connections was full lately, and none to it is free.
+// isConnLimited tells whether a host has lately reached its connection limit and no connection to it is free.
 func (b *Balancer) isConnLimited(h *Host) bool {
 	return b.now < h.connBackoffUntil && (!h.connOpen || h.inFlight > 0)
 }
 
-// firstPossibleRun is the first push of op that has run, may have, or may yet; nil where all provably never ran.
+// firstPossibleRun returns the first push of op that has run, may have run or may still run, or nil.
 func (op *Op) firstPossibleRun() *Push {
 	if i := slices.IndexFunc(op.pushes, func(p *Push) bool { return !p.neverRan }); i >= 0 {
 		return op.pushes[i]
@@ -601,24 +654,24 @@
 	return nil
 }
 
-// dedupAllows tells whether a push of op to h keeps the promise on repeats.
+// dedupAllows tells whether h is in the dedup scope of an earlier push of op that may have run.
 func dedupAllows(op *Op, h *Host) bool {
 	first := op.firstPossibleRun()
 	if first == nil || op.Category.Repeat == Redeliverable {
 		return true
 	}
-	group := op.Category.DedupScope
-	return (group != DedupZone || h.Zone == first.Host.Zone) && (group != DedupCell || h.Cell == first.Host.Cell)
+	scope := op.Category.DedupScope
+	return (scope != DedupZone || h.Zone == first.Host.Zone) && (scope != DedupCell || h.Cell == first.Host.Cell)
 }
 
-// mayRepeat tells whether op may run once more, a margin of time from now.
+// mayRepeat tells whether op may run once more, up to margin ms from now.
 func (b *Balancer) mayRepeat(op *Op, margin float64) bool {
 	first, c := op.firstPossibleRun(), op.Category
 	return first == nil || c.Repeat == Redeliverable ||
 		c.Repeat == Deduplicated && b.now < first.sentAt+c.DedupWindow-margin
 }
 
-// mayPush tells whether any further push of op is allowed now, a second copy where one is out.
+// mayPush tells whether op may have another push now, a hedge where one is in flight.
 func (b *Balancer) mayPush(op *Op) bool {
 	return op.inFlight < 2 && (op.inFlight == 0 || b.AllowHedging) && len(op.pushes) < b.MaxPushes &&
 		b.mayRepeat(op, b.settleMargin())
@@ -627,10 +680,11 @@
 // mayNack tells whether the client may be told that a repeat is safe.
 func (b *Balancer) mayNack(op *Op) bool {
 	c := op.Category
-	return b.mayRepeat(op, 0) && (c.Repeat != Deduplicated || c.DedupScope == DedupAllHosts || op.firstPossibleRun() == nil)
+	return b.mayRepeat(op, 0) &&
+		(c.Repeat != Deduplicated || c.DedupScope == DedupAllHosts || op.firstPossibleRun() == nil)
 }
 
-// OpArrived takes a new op.
+// OpArrived takes a new op. It is pushed, queued or settled at once.
 func (b *Balancer) OpArrived(op *Op) {
 	op.arrivedAt, op.keyHash = b.now, xxhash.Sum64String(op.Key)
 	op.priority = op.Category.Benefit
@@ -640,7 +694,8 @@
 	if t := op.Tenant; t != nil {
 		t.tokens = math.Min(t.tokens+t.quotaShare*float64(b.ackedCount-t.ackedAtRefill), maxTenantTokens)
 		t.ackedAtRefill = b.ackedCount
-		if op.withinQuota = t.tokens >= 1; op.withinQuota { // it counts once acked; whoever is furthest behind comes first
+		// The tenant that is furthest behind its share comes first. An op that is not acked returns its token.
+		if op.withinQuota = t.tokens >= 1; op.withinQuota {
 			op.priority *= t.tokens
 			t.tokens--
 		} else {
@@ -651,19 +706,20 @@
 	b.keyCountSum++
 	b.hedgeTokens = math.Min(b.hedgeTokens+hedgesPerOp, maxTokens)
 	b.probeTokens = math.Min(b.probeTokens+probesPerOp, maxTokens)
-	if b.DeadlineSkew > 0 { // the clocks may differ: a try has its target latency at the least
-		op.Deadline = math.Max(op.Deadline, math.Min(op.Deadline+b.DeadlineSkew, b.now+op.Category.Target+b.settleMargin()))
+	if b.DeadlineSkew > 0 { // clocks may differ: allow at least the target latency
+		op.Deadline = math.Max(op.Deadline,
+			math.Min(op.Deadline+b.DeadlineSkew, b.now+op.Category.Target+b.settleMargin()))
 	}
 	op.flows[0] = &b.keyFlows[op.keyHash%keyBuckets]
 	if op.Tenant != nil {
 		op.flows[1] = &op.Tenant.flow
 	}
 	op.giveUpAt = b.settleBy(op)
-	if op.giveUpAt <= b.now { // a last try with next to no time left could be lost between two looks
+	if op.giveUpAt <= b.now { // too late for any push
 		b.giveUp(op)
 		return
 	}
-	if op.Category.LateBenefit == 0 { // a late answer is worth nothing and costs others theirs
+	if op.Category.LateBenefit == 0 { // a late answer is worth nothing and delays others
 		op.giveUpAt = math.Min(op.giveUpAt, b.now+op.Category.Target)
 	}
 	op.giveUpTimer.op, op.pushes = op, op.pushBuf[:0]
@@ -677,88 +733,91 @@
 		op.keyQueue.quietTimer.keyQueue = op.keyQueue
 		b.keyQueues[op.Key] = op.keyQueue
 	}
-	if op.keyQueue.ops = append(op.keyQueue.ops, op); len(op.keyQueue.ops) == 1 { // else an earlier one sees to it
+	if op.keyQueue.ops = append(op.keyQueue.ops, op); len(op.keyQueue.ops) == 1 {
 		b.startNext(op.keyQueue)
 	}
 }
 
-// startNext sends the first of a key's ordered ops on its way, once all before it are over and the key rested.
-func (b *Balancer) startNext(t *keyQueue) {
+// startNext routes the first op of a key queue, once the quiet time is over.
+func (b *Balancer) startNext(q *keyQueue) {
 	switch {
-	case len(t.ops) == 0 || t.ops[0].state != stateNew:
-	case b.now < t.quietUntil:
-		b.schedule(&b.opTimers, &t.quietTimer, t.quietUntil)
+	case len(q.ops) == 0 || q.ops[0].state != stateNew:
+	case b.now < q.quietUntil:
+		b.schedule(&b.opTimers, &q.quietTimer, q.quietUntil)
 	default:
-		b.route(t.ops[0])
+		b.route(q.ops[0])
 	}
 }
 
-// leaveKeyQueue takes an op of which nothing more can come out of its key's line, and lets the next have its turn.
+// leaveKeyQueue removes an op that is done from its key queue and starts the next one.
 func (b *Balancer) leaveKeyQueue(op *Op) {
-	t := op.keyQueue
-	if t == nil || !op.IsDone() {
+	q := op.keyQueue
+	if q == nil || !op.IsDone() {
 		return
 	}
 	op.keyQueue = nil
-	t.ops = slices.DeleteFunc(t.ops, func(x *Op) bool { return x == op })
-	if len(t.ops) == 0 && b.now >= t.quietUntil {
+	q.ops = slices.DeleteFunc(q.ops, func(x *Op) bool { return x == op })
+	if len(q.ops) == 0 && b.now >= q.quietUntil {
 		delete(b.keyQueues, op.Key)
 	}
-	b.startNext(t)
+	b.startNext(q)
 }
 
-// settleBy is when an op has to be settled, early enough for the next look to come before its TTL.
+// settleBy returns when op has to be settled, in ms: early enough for the client to hear of it in time.
 func (b *Balancer) settleBy(op *Op) float64 { return op.Deadline - b.settleMargin() }
 
+// settleMargin returns the ms before its TTL at which an op is settled.
 func (b *Balancer) settleMargin() float64 { return tickInterval + settleMarginQuanta*b.Quantum }
 
-// route sends an op on its ordinary way: writes of an aside fleet to the origin, all else to the cycle.
-// While the key is being fetched a push could only miss, so the op waits. The last push is the origin's,
-// as is the first where hosts are listed and none is ready: held, the op would only be late.
+// route starts op's next push: to the origin for the writes of a cache-aside fleet, otherwise to a host on
+// the cycle. In a cache-aside fleet, an op joins or leads a fetch from the origin instead if its key is being
+// fetched, for its last push, or if none of the listed hosts is usable. An op that may not be pushed, or has
+// no time left for it, is given up.
 func (b *Balancer) route(op *Op) {
 	switch f := b.fetches[op.Key]; {
-	case !b.mayPush(op) || b.now+op.Category.avgLatency/2 > op.Deadline || b.isThrottled(op): // none allowed, or answered in time
+	case !b.mayPush(op) || b.now+op.Category.avgLatency/2 > op.Deadline || b.isThrottled(op):
 		b.abandonPush(op)
 	case b.CacheAside && op.IsWrite:
 		b.enqueue(&b.originLimiter, op)
-	case b.CacheAside && (f != nil || len(op.pushes) == b.MaxPushes-1 || len(b.readyHosts) == 0 && len(b.hosts) > 0):
+	case b.CacheAside &&
+		(f != nil || len(op.pushes) == b.MaxPushes-1 || len(b.readyHosts) == 0 && len(b.hosts) > 0):
 		b.fetchOrWait(op)
 	default:
 		b.enqueue(&b.fleetLimiter, op)
 	}
 }
 
-// isThrottled tells whether op is of a strand (a key or a tenant) whose ops come to nothing at hosts that serve
-// others: a lock behind all hosts, slow readers, or they are at fault themselves. Such ops hold a few places
-// together, so that they take none from others, and are not tried again elsewhere.
+// isThrottled tells whether op belongs to a failing flow and gets no push: such flows share a small number of
+// pushes in flight, so that they take none from others, and are not retried.
 func (b *Balancer) isThrottled(op *Op) bool {
-	room := math.Max(b.fleetLimiter.limit, 1)
+	slots := math.Max(b.fleetLimiter.limit, 1)
 	if b.ReplySlots > 0 {
-		room = math.Min(room, float64(b.ReplySlots))
+		slots = math.Min(slots, float64(b.ReplySlots))
 	}
-	for _, s := range op.flows {
-		if b.isFailing(s) && (len(op.pushes) > 0 || float64(s.inFlight) >= math.Max(room*failingFlowShare, 1)) {
+	for _, f := range op.flows {
+		if b.isFailing(f) && (len(op.pushes) > 0 || float64(f.inFlight) >= math.Max(slots*failingFlowShare, 1)) {
 			return true
 		}
 	}
 	return false
 }
 
-// isFailing tells whether much more of a strand comes to nothing than of all ops.
-func (b *Balancer) isFailing(s *flowStats) bool {
-	return s != nil && s.failRate > b.allOps.failRate+flowFailMargin
+// isFailing tells whether a flow fails clearly more often than all ops do, at hosts that serve others: its
+// ops may wait for a common lock, have slow readers, or be at fault themselves.
+func (b *Balancer) isFailing(f *flowStats) bool {
+	return f != nil && f.failRate > b.allOps.failRate+flowFailMargin
 }
 
-// recordFlow notes what came of a push of op at a host that is in order as far as is known.
-func (b *Balancer) recordFlow(op *Op, vain float64) {
-	for _, s := range [...]*flowStats{op.flows[0], op.flows[1], &b.allOps} {
-		if s != nil {
-			s.failRate += (vain - s.failRate) * slowEWMAWeight
+// recordFlow adds the result of a push to a sound host, 1 for a failure and 0 otherwise, to op's flows.
+func (b *Balancer) recordFlow(op *Op, failure float64) {
+	for _, f := range [...]*flowStats{op.flows[0], op.flows[1], &b.allOps} {
+		if f != nil {
+			f.failRate += (failure - f.failRate) * slowEWMAWeight
 		}
 	}
 }
 
-// fetchOrWait makes op fetch its key for all that want it, or wait for the fetch that is out.
+// fetchOrWait makes op fetch its key from the origin, or wait for the fetch of its key that is under way.
 func (b *Balancer) fetchOrWait(op *Op) {
 	if f := b.fetches[op.Key]; f != nil {
 		b.setState(op, stateQueued)
@@ -771,54 +830,60 @@
 	b.enqueue(&b.originLimiter, op)
 }
 
-// enqueue puts op in line at a gate.
-func (b *Balancer) enqueue(g *limiter, op *Op) {
-	if b.isShedByChance(g, op) {
+// enqueue adds op to the queue of a limiter, or abandons its push if it is shed.
+func (b *Balancer) enqueue(lim *limiter, op *Op) {
+	if b.isShedByChance(lim, op) {
 		b.abandonPush(op)
 		return
 	}
 	b.setState(op, stateQueued)
-	g.queue = append(g.queue, op)
+	lim.queue = append(lim.queue, op)
 	b.armTimer(b.now + tickInterval)
-	b.dispatch(g)
+	b.dispatch(lim)
 }
 
-// dispatch lets out what a gate has room for, the best first, and sheds the worst, of equals the last, past that.
-func (b *Balancer) dispatch(g *limiter) {
-	g.queue = slices.DeleteFunc(g.queue, func(op *Op) bool { return op.state != stateQueued })
-	for len(g.queue) > 0 && float64(g.inFlight) < math.Max(g.limit, 1) {
-		op := slices.MaxFunc(g.queue, func(x, y *Op) int { return cmp.Compare(queuePriority(x), queuePriority(y)) })
-		h := b.selectHost(g, op)
+// dispatch pushes queued ops, those of the highest priority first, until the limit is reached. If more ops
+// than the limit are left, it sheds those of the lowest priority, the latest first.
+func (b *Balancer) dispatch(lim *limiter) {
+	lim.queue = slices.DeleteFunc(lim.queue, func(op *Op) bool { return op.state != stateQueued })
+	for len(lim.queue) > 0 && float64(lim.inFlight) < math.Max(lim.limit, 1) {
+		op := slices.MaxFunc(lim.queue, func(x, y *Op) int {
+			return cmp.Compare(queuePriority(x), queuePriority(y))
+		})
+		h := b.selectHost(lim, op)
 		if h == nil && op.failedHost == nil {
 			break
 		}
-		g.remove(op)
+		lim.remove(op)
 		if h != nil {
-			b.push(g, op, h)
-		} else { // none but the host that failed it: it must not hold up the line behind it
+			b.push(lim, op, h)
+		} else { // only the host that failed it is left; others in the queue must not wait for it
 			b.abandonPush(op)
 		}
 	}
-	if g == &b.fleetLimiter && len(b.readyHosts) == 0 { // no list yet, or an empty one: hold while there is hope
+	if lim == &b.fleetLimiter && len(b.readyHosts) == 0 { // no hosts yet: ops wait for a list
 		return
 	}
-	for float64(len(g.queue)) > math.Max(2, g.limit) {
-		least := slices.MinFunc(g.queue, func(x, y *Op) int { return cmp.Or(cmp.Compare(queuePriority(x), queuePriority(y)), -1) })
-		g.remove(least)
-		b.abandonPush(least)
+	for float64(len(lim.queue)) > math.Max(2, lim.limit) {
+		lowest := slices.MinFunc(lim.queue, func(x, y *Op) int {
+			return cmp.Or(cmp.Compare(queuePriority(x), queuePriority(y)), -1)
+		})
+		lim.remove(lowest)
+		b.abandonPush(lowest)
 	}
 }
 
-// isShedByChance tells whether chance turns an op away. A limit under one is the part of ops that go out, and more
-// of those of more worth: one out at each of some hundred balancers would keep a full origin full.
-func (b *Balancer) isShedByChance(g *limiter, op *Op) bool {
-	g.avgPriority += (queuePriority(op) - g.avgPriority) * fastEWMAWeight
-	return g.limit < 1 && b.rng.uniform()*g.avgPriority >= g.limit*queuePriority(op)
+// isShedByChance tells whether op is shed at random because the limit is below 1: the limit is the share of
+// ops that are admitted, weighted by priority. One push in flight from each of many balancers would already
+// keep an overloaded origin overloaded.
+func (b *Balancer) isShedByChance(lim *limiter, op *Op) bool {
+	lim.avgPriority += (queuePriority(op) - lim.avgPriority) * fastEWMAWeight
+	return lim.limit < 1 && b.rng.uniform()*lim.avgPriority >= lim.limit*queuePriority(op)
 }
 
-// selectHost is the host that a gate's op goes to.
-func (b *Balancer) selectHost(g *limiter, op *Op) *Host {
-	if g == &b.fleetLimiter {
+// selectHost returns the host for the next push of an op from a limiter's queue, or nil.
+func (b *Balancer) selectHost(lim *limiter, op *Op) *Host {
+	if lim == &b.fleetLimiter {
 		return b.walk(op)
 	}
 	for _, h := range b.origins {
@@ -829,7 +894,7 @@
 	return nil
 }
 
-// abandonPush gives up a push that an op was to have: the op ends with it, unless another is out.
+// abandonPush drops the next push of op. The op is given up unless another push is in flight.
 func (b *Balancer) abandonPush(op *Op) {
 	if op.inFlight == 0 {
 		b.giveUp(op)
@@ -839,9 +904,11 @@
 	b.finishFetch(op, false)
 }
 
-func (b *Balancer) push(g *limiter, op *Op, h *Host) {
+// push sends op to h, and schedules the check of the push or, where it can be neither cancelled nor hedged,
+// shortens its timeout.
+func (b *Balancer) push(lim *limiter, op *Op, h *Host) {
 	b.setState(op, statePushed)
-	p := &Push{Op: op, Host: h, SendBy: op.giveUpAt - op.Category.avgLatency/2, sentAt: b.now, limiter: g}
+	p := &Push{Op: op, Host: h, SendBy: op.giveUpAt - op.Category.avgLatency/2, sentAt: b.now, limiter: lim}
 	if first := op.firstPossibleRun(); first != nil && op.Category.Repeat == Deduplicated {
 		p.SendBy = math.Min(p.SendBy, first.sentAt+op.Category.DedupWindow-b.settleMargin())
 	}
@@ -851,39 +918,44 @@
 	op.addInFlight(1)
 	h.inFlight++
 	h.connOpen, h.connUnproven, h.lastPush = true, h.connUnproven || !h.connOpen, b.now
-	g.inFlight++
+	lim.inFlight++
 	if h.ejectTime >= baseEjectTime {
 		b.probeTokens = math.Max(b.probeTokens-1, 0)
 	}
-	c, limit := op.Category, op.Deadline-b.now
+	c, timeout := op.Category, op.Deadline-b.now
 	usual, devs := c.latencyEWMA, checkDelayDevs
 	switch {
 	case h.IsOrigin:
-		usual = g.latencyEWMA
+		usual = lim.latencyEWMA
 	case b.warmth(h) < 1:
 		h.coldBudget--
 	}
 	if b.AllowHedging {
 		devs = hedgeDevs
 	}
-	patience := math.Max(usual.avgLatency+devs*usual.latencyDev, c.Target*minCheckDelayShare)
+	checkDelay := math.Max(usual.avgLatency+devs*usual.latencyDev, c.Target*minCheckDelayShare)
 	switch {
-	case b.AllowHedging && (h.IsOrigin || op.inFlight > 1): // one origin, and two pushes at most
+	case b.AllowHedging && (h.IsOrigin || op.inFlight > 1): // hedged already, or nowhere to hedge
 	case b.AllowHedging:
-		b.schedule(&b.pushTimers, &p.checkTimer, b.now+math.Min(patience, math.Max(c.avgLatency, c.Target-2*c.avgLatency)))
+		b.schedule(&b.pushTimers, &p.checkTimer,
+			b.now+math.Min(checkDelay, math.Max(c.avgLatency, c.Target-2*c.avgLatency)))
 	case b.AllowCancel:
-		b.schedule(&b.pushTimers, &p.checkTimer, b.now+patience)
+		b.schedule(&b.pushTimers, &p.checkTimer, b.now+checkDelay)
 	case c.Repeat == Redeliverable:
-		limit = math.Min(limit, patience)
+		timeout = math.Min(timeout, checkDelay)
 	}
-	b.frontend.Push(p, limit)
+	b.frontend.Push(p, timeout)
 }
 
-// PushStarted takes word that a push had to wait here for so many ms, and whether a connection is made for it.
-func (b *Balancer) PushStarted(p *Push, wait float64, made bool) { p.localWait, p.newConn = wait, made }
+// PushStarted tells that a push was written after waiting for wait ms in this process, and whether that was
+// on a new connection.
+func (b *Balancer) PushStarted(p *Push, wait float64, newConn bool) {
+	p.localWait, p.newConn = wait, newConn
+}
 
-// checkSlowPush looks at a push that has been out for unusually long. A host that has answered others since
-// is at work on a heavy op; one that has answered none is suspect, and the op tries its luck elsewhere.
+// checkSlowPush hedges a push that is late, or cancels it so that the op is retried. A push that the host is
+// probably working on is left alone: once if the host has answered others since, and always at the origin
+// unless that has answered a later push.
 func (b *Balancer) checkSlowPush(p *Push) {
 	op := p.Op
 	if b.AllowHedging {
@@ -891,27 +963,30 @@
 		return
 	}
 	c := op.Category
-	bound := c.Repeat == AtMostOnce || c.Repeat == Deduplicated && c.DedupScope != DedupAllHosts
-	if bound || p.cancelled || len(op.pushes) >= b.MaxPushes || b.deferWhileSilent(p) || b.recheckOnce(p, recheckFactor) ||
-		p.Host.IsOrigin && p.Host.newestAnsweredPush <= p.sentAt { // the one origin is at work on it all the same
+	notElsewhere := c.Repeat == AtMostOnce || c.Repeat == Deduplicated && c.DedupScope != DedupAllHosts
+	if notElsewhere || p.cancelled || len(op.pushes) >= b.MaxPushes || b.deferWhileSilent(p) ||
+		b.recheckOnce(p, recheckFactor) ||
+		p.Host.IsOrigin && p.Host.newestAnsweredPush <= p.sentAt {
 		return
 	}
 	p.cancelled = true
 	b.frontend.Cancel(p)
 }
 
-// recheckOnce leaves a push whose host has answered others for some first waits more, once.
-func (b *Balancer) recheckOnce(p *Push, waits float64) bool {
+// recheckOnce puts off the check of a push whose host has answered others since, by factor times the time
+// that the push is out. It does so once per push, and tells whether it did.
+func (b *Balancer) recheckOnce(p *Push, factor float64) bool {
 	if p.rechecked || p.Host.lastAnswer <= p.sentAt {
 		return false
 	}
 	p.rechecked = true
-	b.schedule(&b.pushTimers, &p.checkTimer, b.now+waits*(b.now-p.sentAt))
+	b.schedule(&b.pushTimers, &p.checkTimer, b.now+factor*(b.now-p.sentAt))
 	return true
 }
 
-// deferWhileSilent tells whether nobody has answered since a push was sent, though as many are out as would have half the
-// hosts answer. A short while of that is the network's pause, or the machine's, and no host is better.
+// deferWhileSilent puts off the check of a push if no host has answered since it was sent, though at least
+// half the hosts should have. A short silence is a pause of the network or this machine, and no other host
+// would be faster. It tells whether it did so.
 func (b *Balancer) deferWhileSilent(p *Push) bool {
 	if b.lastAnswer > p.sentAt || b.now-p.sentAt > p.Op.Category.Target*fleetSilenceShare ||
 		2*(b.fleetLimiter.inFlight-p.Host.inFlight) < len(b.readyHosts) {
@@ -921,14 +996,15 @@
 	return true
 }
 
-// hedge sends a second copy of an op whose push has been out for unusually long, which stays: what comes first
-// counts. A host that has answered nobody since is suspect. Copies are few: they crowd slow hosts.
+// hedge sends a second push of an op whose first one is late; the first answer counts. Hedges are limited by
+// hedgeTokens. A host that has answered nobody since the first push has failed.
 func (b *Balancer) hedge(p *Push) {
 	op, h := p.Op, p.Host
 	if h.lastAnswer < p.sentAt {
 		b.recordFailure(h, TimedOut, b.now-p.sentAt, failureWeight)
 	}
-	if b.recheckOnce(p, hedgeRecheckFactor) || op.state != statePushed || op.inFlight > 1 || b.hedgeTokens < 1 || !b.mayPush(op) {
+	if b.recheckOnce(p, hedgeRecheckFactor) || op.state != statePushed || op.inFlight > 1 ||
+		b.hedgeTokens < 1 || !b.mayPush(op) {
 		return
 	}
 	b.hedgeTokens--
@@ -936,8 +1012,8 @@
 	b.enqueue(&b.fleetLimiter, op)
 }
 
-// StreamingStarted takes word that the answer has begun to flow: TTL and time-outs are over, the host's work is
-// done. A slow reader must hold no place there or at the gate, nor those who wait for the key.
+// StreamingStarted tells that the answer to p has begun to flow to the client. The host's work is done: the
+// push no longer counts as in flight there or at the limiter, and those who wait for its fetch go on.
 func (b *Balancer) StreamingStarted(p *Push) {
 	if op := p.Op; op.state < stateStreaming {
 		op.streamingPush = p
@@ -950,7 +1026,7 @@
 	}
 }
 
-// ClientLeft takes word that nobody waits for the op any more.
+// ClientLeft tells that no client waits for op any more.
 func (b *Balancer) ClientLeft(op *Op) {
 	if op.state == stateSettled {
 		return
@@ -961,7 +1037,7 @@
 	b.leaveKeyQueue(op)
 }
 
-// cancelPushes cancels pushes whose answers nobody wants.
+// cancelPushes cancels op's pushes in flight, where that is possible.
 func (b *Balancer) cancelPushes(op *Op) {
 	for _, p := range op.pushes {
 		if !p.ended && b.AllowCancel && !p.cancelled {
@@ -971,9 +1047,11 @@
 	}
 }
 
-// PushEnded takes the outcome of a push, and its host's load report or nil. last: nothing more is owed for it.
-func (b *Balancer) PushEnded(p *Push, o Outcome, spent float64, last bool, r *LoadReport) {
-	op, h, g := p.Op, p.Host, p.limiter
+// PushEnded takes the outcome of a push after latency ms, with its host's load report or nil. Where the
+// outcome settles the op for the frontend (final), nothing more is done for it; otherwise it is retried,
+// fetched, or given up.
+func (b *Balancer) PushEnded(p *Push, o Outcome, latency float64, final bool, report *LoadReport) {
+	op, h, lim := p.Op, p.Host, p.limiter
 	if p.ended {
 		return
 	}
@@ -988,45 +1066,46 @@
 	switch {
 	case op.streamingPush != p:
 		h.inFlight--
-		g.inFlight--
-		b.recordOutcome(p, o, spent)
-	case o != Served && o != Cancelled: // it broke midway
-		b.recordFailure(h, o, spent, failureWeight)
-	}
-	if r != nil && r.Busy >= 0 && !h.IsOrigin {
-		b.recordBusy(h, math.Min(r.Busy, 1))
-	}
-	wrong := o == InvalidOp || o == Failed && !h.IsOrigin
-	known := wrong && !b.isSuspect(h)
-	twice := known && op.errorHost != nil && op.errorHost != h // two agree: it is the op that is wrong
-	// Or would: an error that is no host's own gets no second push then, nor do a few of hosts that turn bad.
-	alone := known && op.errorHost == nil && b.errorRepeatRate > errorRepeatThreshold && b.rng.uniform() > errorRetryShare
-	if wrong {
+		lim.inFlight--
+		b.recordOutcome(p, o, latency)
+	case o != Served && o != Cancelled: // the stream broke off
+		b.recordFailure(h, o, latency, failureWeight)
+	}
+	if report != nil && report.Busy >= 0 && !h.IsOrigin {
+		b.recordBusy(h, math.Min(report.Busy, 1))
+	}
+	isError := o == InvalidOp || o == Failed && !h.IsOrigin
+	fromSoundHost := isError && !b.isSuspect(h)
+	confirmed := fromSoundHost && op.errorHost != nil && op.errorHost != h // by a second host: the op is bad
+	// Where second hosts mostly confirm errors, the op is not retried, except for a few to keep the rate known.
+	presumed := fromSoundHost && op.errorHost == nil && b.errorRepeatRate > errorRepeatThreshold &&
+		b.rng.uniform() > errorRetryShare
+	if isError {
 		op.errorHost = h
 	}
-	if twice || alone {
+	if confirmed || presumed {
 		b.recordFlow(op, 1)
 	}
-	if twice {
+	if confirmed {
 		b.errorRepeatRate += (1 - b.errorRepeatRate) * fastEWMAWeight
 	}
 	switch {
 	case op.state == stateSettled:
-	case last || op.streamingPush == p:
+	case final || op.streamingPush == p:
 		if o == Served {
 			b.ackedCount++
 			op.acked = true
 		}
 		b.setState(op, stateSettled)
 		b.finishFetch(op, o == Served)
-	case op.state == stateStreaming || op.state == stateQueued: // bound to its other push, or that is on its way
+	case op.state == stateStreaming || op.state == stateQueued: // another push is streaming or queued
 	case o == CacheMiss && b.CacheAside && !h.IsOrigin && op.fetch == nil && b.mayPush(op):
 		b.fetchOrWait(op)
-	case op.inFlight > 0: // its other push may be answered yet
+	case op.inFlight > 0: // the other push may still be answered
 		if h.IsOrigin {
 			b.finishFetch(op, false)
 		}
-	case twice || alone || b.now >= op.Deadline-tickInterval:
+	case confirmed || presumed || b.now >= op.Deadline-tickInterval:
 		b.giveUp(op)
 	case o == Overloaded && !h.IsOrigin && b.isShedWhenFull(op):
 		if b.originLimiter.congestion > b.originLimiter.congestionGoal || !b.CacheAside || !b.mayPush(op) {
@@ -1034,21 +1113,23 @@
 		} else {
 			b.fetchOrWait(op)
 		}
-	case op.fetch != nil && b.mayPush(op): // the origin failed the fetch; its waiters wait on
-		b.enqueue(g, op)
-	// A good host, which may hold the key while others would miss; one with no room for a connection does not.
-	case o == ConnLimited, !b.isSuspect(h) && (o == InvalidAnswer || o == StaleConn || o == Cancelled && h.lastAnswer > p.sentAt):
+	case op.fetch != nil && b.mayPush(op): // the origin failed the fetch: retry it, its waiters wait on
+		b.enqueue(lim, op)
+	// The host may be tried again: it is sound and may be the only one to hold the key. At a host without room
+	// for connections, the connection backoff decides.
+	case o == ConnLimited,
+		!b.isSuspect(h) && (o == InvalidAnswer || o == StaleConn || o == Cancelled && h.lastAnswer > p.sentAt):
 		b.route(op)
 	default:
 		op.failedHost = h
 		b.route(op)
 	}
 	b.leaveKeyQueue(op)
-	b.dispatch(g)
+	b.dispatch(lim)
 }
 
-// recordBusy takes how busy a host says it is. Where those of the own zone are busier than the others keys walk
-// the whole cycle: a zone may have more traffic than its hosts can carry.
+// recordBusy records a host's reported share of core time in use. Where the own zone's hosts are busier than
+// the others, more keys ignore zones: a zone may have more traffic than its hosts can serve.
 func (b *Balancer) recordBusy(h *Host, busy float64) {
 	b.avgBusy += (busy - b.avgBusy) * slowEWMAWeight
 	if h.Zone != b.Zone {
@@ -1061,18 +1142,21 @@
 	}
 }
 
-// isShedWhenFull tells whether an op that a host had no room for is to walk no further. Where most hosts have none,
-// walking on fills those that have, and few are served: a part makes way, more of those of less worth.
+// isShedWhenFull tells whether an op that an overloaded host turned away goes to no further host. In a full
+// fleet, retries would only fill the last hosts with room: a share of the ops is shed, more of those of low
+// priority.
 func (b *Balancer) isShedWhenFull(op *Op) bool {
-	return b.avgBusy > fleetBusyThreshold && b.rng.uniform()*queuePriority(op) < (b.overloadedRate-overloadedThreshold)/overloadedThreshold*b.fleetLimiter.avgPriority
+	return b.avgBusy > fleetBusyThreshold && b.rng.uniform()*queuePriority(op) <
+		(b.overloadedRate-overloadedThreshold)/overloadedThreshold*b.fleetLimiter.avgPriority
 }
 
-// recordOutcome takes from an outcome what it tells of host and gate.
-func (b *Balancer) recordOutcome(p *Push, o Outcome, spent float64) {
-	op, h, g := p.Op, p.Host, p.limiter
-	c, bad, suspect, step := op.Category, false, b.isSuspect(h), failureWeight
-	few := float64(b.GroupSize) <= smallGroupSize // each knows its own part of hits and of full hosts
-	// Pushes turned away are not counted: of a full fleet's they are half, and no measure of what it can do.
+// recordOutcome updates what is known of the host, the flows, the zones and the limiter of p from its outcome
+// after latency ms.
+func (b *Balancer) recordOutcome(p *Push, o Outcome, latency float64) {
+	op, h, lim := p.Op, p.Host, p.limiter
+	c, failed, suspect, weight := op.Category, false, b.isSuspect(h), failureWeight
+	smallGroup := float64(b.GroupSize) <= smallGroupSize // each balancer sees enough by itself
+	// Overloaded does not count here: a full fleet turns much away, which is no measure of its capacity.
 	if (o == Served || o == CacheMiss) && !h.IsOrigin && b.warmth(h) == 1 {
 		b.warmAnswers++
 	}
@@ -1083,80 +1167,82 @@
 			b.crossZoneShare = math.Min(1, b.crossZoneShare+crossZoneDecay)
 		}
 	}
-	if g == &b.fleetLimiter && len(op.pushes) > 1 && (o == Served || o == CacheMiss || o == Overloaded) {
+	if lim == &b.fleetLimiter && len(op.pushes) > 1 && (o == Served || o == CacheMiss || o == Overloaded) {
 		b.overloadedRate -= b.overloadedRate * slowEWMAWeight
 		if o == Overloaded {
 			b.overloadedRate += slowEWMAWeight
 		}
 	}
-	switch late := spent > c.Target; {
+	switch late := latency > c.Target; {
 	case o == Served && !late:
 		b.recordFlow(op, 0)
 	case o == Served || (o == TimedOut || o == Cancelled) && h.lastAnswer > p.sentAt && !op.acked:
-		if b.recordFlow(op, 1); slices.ContainsFunc(op.flows[:], b.isFailing) { // that says nothing of the host
+		// A failing flow's outcomes say nothing about the host.
+		if b.recordFlow(op, 1); slices.ContainsFunc(op.flows[:], b.isFailing) {
 			return
 		}
 	}
 	switch o {
 	case Served:
-		seen := max(spent, b.Quantum, tickInterval/100) // less than a round can't be told: below it all are alike
+		measured := max(latency, b.Quantum, tickInterval/100) // shorter ones cannot be told apart
 		switch {
 		case p.newConn:
-			b.connSetup.observe(math.Max(spent-c.avgLatency, 0))
-		case g == &b.fleetLimiter:
-			b.recordSlowdown(h, seen/c.avgLatency)
-			c.observe(seen)
+			b.connSetup.observe(math.Max(latency-c.avgLatency, 0))
+		case lim == &b.fleetLimiter:
+			b.recordSlowdown(h, measured/c.avgLatency)
+			c.observe(measured)
 		}
-		g.observe(seen)
+		lim.observe(measured)
 		h.lastAnswer, b.lastAnswer, h.newestAnsweredPush = b.now, b.now, math.Max(h.newestAnsweredPush, p.sentAt)
 		if !b.crossZoneCheap {
 			b.crossZoneShare -= b.crossZoneShare * crossZoneDecay
 		}
 	case CacheMiss:
 		h.lastAnswer, b.lastAnswer = b.now, b.now
-	case Failed: // the op may be at fault: another host has to serve it first
-		bad = h.IsOrigin || !b.mayPush(op)
+	case Failed: // the op may be at fault, unless another host serves it
+		failed = h.IsOrigin || !b.mayPush(op)
 	case ConnBroken:
-		bad = true
-	case InvalidAnswer, StaleConn: // any host closes idle connections, or is at work where it answers: their share tells
-		if bad, step = true, fastEWMAWeight; o == InvalidAnswer {
+		failed = true
+	case InvalidAnswer, StaleConn: // sound hosts have some of these too, so each weighs less
+		if failed, weight = true, fastEWMAWeight; o == InvalidAnswer {
 			h.lastAnswer = b.now
 		}
 	case ConnectFailed:
 		b.noteHostDown(h)
-		bad, h.connOpen, h.connUnproven = true, false, false
+		failed, h.connOpen, h.connUnproven = true, false, false
 		if !h.IsOrigin {
 			b.idleTimeout = math.Max(b.idleTimeout*idleTimeoutDecrease, tickInterval)
 		}
-	case ConnLimited: // of many balancers most are turned away: asked at fewer hosts, a key meets the same connections
+	case ConnLimited: // keep keys in the own zone: with fewer hosts to reach, fewer connections are needed
 		h.connOpen, h.connUnproven = h.connOpen && !h.connUnproven, false
 		h.connBackoff = math.Min(math.Max(h.connBackoff*2, baseConnBackoff), maxConnBackoff)
 		h.connBackoffUntil = b.now + h.connBackoff*(0.5+b.rng.uniform())
 		b.crossZoneShare = math.Max(0, b.crossZoneShare-crossZoneStep)
-	case Overloaded: // a host that others fill is no bad host; the op walks on
-		if bad = h.IsOrigin; !bad && !few {
+	case Overloaded: // no failure of a cache host, which others may have filled; the op goes to the next one
+		if failed = h.IsOrigin; !failed && !smallGroup {
 			b.recordSlowdown(h, overloadedSlowdown)
 		}
 	case TimedOut, Cancelled:
-		bad = h.lastAnswer < p.sentAt
-		switch known := g == &b.fleetLimiter && spent > c.avgLatency && !suspect; { // else only the quick would count as usual
-		case known && p.newConn:
-			b.connSetup.observe(spent - c.avgLatency)
-		case known:
-			c.observe(spent)
+		failed = h.lastAnswer < p.sentAt
+		// Count the latency so far, or only the fast answers would make up the average.
+		switch counts := lim == &b.fleetLimiter && latency > c.avgLatency && !suspect; {
+		case counts && p.newConn:
+			b.connSetup.observe(latency - c.avgLatency)
+		case counts:
+			c.observe(latency)
 		}
 	}
-	if (o == Served || o == CacheMiss) && op.errorHost != nil { // another host takes the op: it is not the one to blame
-		b.recordFailure(op.errorHost, o, spent, failureWeight)
+	if (o == Served || o == CacheMiss) && op.errorHost != nil { // the error was the other host's fault
+		b.recordFailure(op.errorHost, o, latency, failureWeight)
 		b.errorRepeatRate -= b.errorRepeatRate * fastEWMAWeight
 		op.errorHost = nil
 	}
 	switch {
 	case o == NotSent || o == Cancelled && op.state == stateSettled:
-	case bad:
-		b.recordFailure(h, o, spent, step)
+	case failed:
+		b.recordFailure(h, o, latency, weight)
 	case o == Served || o == CacheMiss:
-		if h.ejectTime >= baseEjectTime { // it is well again: that cost nothing
+		if h.ejectTime >= baseEjectTime { // a successful probe returns its token
 			b.probeTokens++
 		}
 		h.failRate -= h.failRate * fastEWMAWeight
@@ -1164,61 +1250,65 @@
 			h.ejectTime = 0
 		}
 	}
-	// A gate that narrowed for hosts already known as silent would shut out what the others could serve.
-	if o == CacheMiss && (few || b.originLimiter.limit < originMinInitialLimit) || o == NotSent || o == InvalidAnswer || o == StaleConn ||
+	// Outcomes that say nothing about congestion. Those of suspect hosts are left out as well: a lower limit
+	// would shed what the other hosts could serve.
+	if o == CacheMiss && (smallGroup || b.originLimiter.limit < originMinInitialLimit) ||
+		o == NotSent || o == InvalidAnswer || o == StaleConn ||
 		o == InvalidOp || o == ConnBroken || o == ConnLimited ||
 		!h.IsOrigin && (o == ConnectFailed || o == Overloaded || o == Failed || suspect) {
 		return
 	}
-	pain, cut := spent/c.Target, limitDecrease
-	if op.IsWrite { // it comes on top of no miss: what is usual for it would shut the origin's gate
-		pain *= originCongestionGoal / fleetCongestionGoal
+	congestion, decrease := latency/c.Target, limitDecrease
+	if op.IsWrite { // it follows no miss, so it may take as long as a hit
+		congestion *= originCongestionGoal / fleetCongestionGoal
 	}
-	g.lastOutcome = b.now
+	lim.lastOutcome = b.now
 	switch {
 	case o == Served || o == CacheMiss:
-	// Its connection is dead or the op is heavy, as the host answers others; or the client went away first.
+	// The host answers others, so the connection is dead or the op is heavy; or the client left early.
 	case (o == TimedOut || o == Cancelled) && h.lastAnswer > p.sentAt,
-		o == Cancelled && op.state == stateSettled && pain < g.congestionGoal:
+		o == Cancelled && op.state == stateSettled && congestion < lim.congestionGoal:
 		return
 	default:
-		pain = math.Max(pain, 2*g.congestionGoal)
-		if h.IsOrigin && b.now-h.lastAnswer > c.Target { // it stands full: what waits there for long comes to nothing
-			pain, cut = math.Max(pain, originFullCongestion), originFullDecrease
+		congestion = math.Max(congestion, 2*lim.congestionGoal)
+		if h.IsOrigin && b.now-h.lastAnswer > c.Target { // the origin's queue is so long that all ops time out
+			congestion, decrease = math.Max(congestion, originFullCongestion), originFullDecrease
 		}
 	}
-	if g == &b.originLimiter && pain > g.congestionGoal && !b.crossZoneCheap {
+	if lim == &b.originLimiter && congestion > lim.congestionGoal && !b.crossZoneCheap {
 		b.crossZoneShare = math.Min(1, b.crossZoneShare+crossZoneStep)
 	}
-	if step = g.congestionWeight; g.limit < 1 { // of few outcomes each tells more
-		step = fewOutcomesWeight
+	if weight = lim.congestionWeight; lim.limit < 1 {
+		weight = fewOutcomesWeight
 	}
-	g.congestion += (pain - g.congestion) * step
+	lim.congestion += (congestion - lim.congestion) * weight
 	switch {
-	// Timely answers do not narrow it: a heavy op, smoothed over for long, would be paid for with each of them.
-	case g.congestion > g.congestionGoal && pain > g.congestionGoal && b.now >= g.nextDecrease:
-		least := g.minLimit
-		if g.congestion <= randomShedCongestion {
+	// Only late outcomes decrease the limit. Otherwise one heavy op, which the average remembers for long,
+	// would decrease it again with each timely answer.
+	case lim.congestion > lim.congestionGoal && congestion > lim.congestionGoal && b.now >= lim.nextDecrease:
+		least := lim.minLimit
+		if lim.congestion <= randomShedCongestion {
 			least = math.Max(least, 1)
 		}
-		g.limit = math.Max(math.Min(g.limit, least), math.Min(g.limit, float64(g.inFlight+1))*cut)
-		g.nextDecrease = b.now + limitDecreaseInterval
-	case g.congestion < minCheckDelayShare && float64(g.inFlight+1) > g.limit/2: // there is no queue
-		g.limit++
-	case g.congestion < g.congestionGoal && float64(g.inFlight+1) > g.limit/2:
-		g.limit += math.Min(1/g.limit, g.limit) // from next to none it doubles
+		lim.limit = math.Max(math.Min(lim.limit, least), math.Min(lim.limit, float64(lim.inFlight+1))*decrease)
+		lim.nextDecrease = b.now + limitDecreaseInterval
+	case lim.congestion < minCheckDelayShare && float64(lim.inFlight+1) > lim.limit/2: // far from any queueing
+		lim.limit++
+	case lim.congestion < lim.congestionGoal && float64(lim.inFlight+1) > lim.limit/2:
+		lim.limit += math.Min(1/lim.limit, lim.limit) // a limit below 1 doubles at most
 	}
 }
 
-// recordFailure counts a failure against a host, and takes it off the walk for a while once it is suspect.
-func (b *Balancer) recordFailure(h *Host, o Outcome, spent, step float64) {
-	h.failRate += (1 - h.failRate) * step
+// recordFailure records a failure of a host and ejects it if that makes it suspect. latency is the time until
+// the failure, in ms; weight is the failure's EWMA weight. The origin is ejected only when overloaded.
+func (b *Balancer) recordFailure(h *Host, o Outcome, latency, weight float64) {
+	h.failRate += (1 - h.failRate) * weight
 	if !b.isSuspect(h) || b.now < h.ejectedUntil || h.IsOrigin && o != Overloaded {
 		return
 	}
 	h.ejectTime = math.Min(math.Max(h.ejectTime*2, baseEjectTime), maxEjectTime)
-	if o == ConnectFailed { // the host may just be full of connections, and a quick try costs little
-		h.ejectTime = math.Min(h.ejectTime, ejectConnectMultiple*spent)
+	if o == ConnectFailed { // the host may only be out of connections, and a fast failure costs little
+		h.ejectTime = math.Min(h.ejectTime, ejectConnectMultiple*latency)
 	}
 	if h.IsOrigin {
 		h.ejectTime = limitDecreaseInterval
@@ -1227,13 +1317,15 @@
 	b.countEjected()
 }
 
-// recordSlowdown takes the latency of a push, in usual ones, as a sign of how crowded its host is.
-func (b *Balancer) recordSlowdown(h *Host, ratio float64) {
-	h.slowdown += (ratio - h.slowdown) * fastEWMAWeight
-	b.avgSlowdown += (ratio - b.avgSlowdown) * slowEWMAWeight
+// recordSlowdown adds the latency of a push, as a multiple of the usual one, to the averages of its host and
+// of all hosts.
+func (b *Balancer) recordSlowdown(h *Host, slowdown float64) {
+	h.slowdown += (slowdown - h.slowdown) * fastEWMAWeight
+	b.avgSlowdown += (slowdown - b.avgSlowdown) * slowEWMAWeight
 }
 
-// finishFetch ends the fetch that op led. Those that waited go on; after a failure the first that may fetches.
+// finishFetch ends the fetch that op leads, if any. If it was served, the waiting ops are routed on;
+// otherwise the first of them that may be pushed leads the fetch for the others.
 func (b *Balancer) finishFetch(op *Op, served bool) {
 	f := op.fetch
 	if f == nil {
@@ -1242,7 +1334,7 @@
 	op.fetch = nil
 	delete(b.fetches, op.Key)
 	waiters := slices.DeleteFunc(f.waiters, func(w *Op) bool { return w.state != stateQueued })
-	if !served { // passed on whole: one by one the waiters would weigh too little to hold a place in line
+	if !served { // as one fetch, the waiters keep their joint priority
 		for len(waiters) > 0 {
 			next := waiters[0]
 			waiters = waiters[1:]
@@ -1261,14 +1353,14 @@
 	}
 }
 
-// giveUp settles an op unserved, at once: with a nack where a repeat is safe, else a dead letter.
+// giveUp settles op unserved: with a nack if a repeat is safe, otherwise as a dead letter.
 func (b *Balancer) giveUp(op *Op) {
 	if op.state == stateSettled {
 		return
 	}
 	nack := b.mayNack(op)
 	b.setState(op, stateSettled)
-	if nack { // the client is to come back after the time a line takes to clear, spread
+	if nack {
 		b.frontend.Nack(op, b.backoff(op.Category.Target))
 	} else {
 		b.frontend.DeadLetter(op)
@@ -1278,11 +1370,13 @@
 	b.leaveKeyQueue(op)
 }
 
+// backoff returns a jittered backoff for clients, in ms: about the time in which a queue clears.
 func (b *Balancer) backoff(target float64) float64 {
 	return math.Min(b.MaxBackoff, target/2*(1+b.rng.uniform()))
 }
 
-// setState is the one place where an op changes state. A settled op stays settled.
+// setState is the only place where an op changes state. A settled op stays settled, and a streaming one can
+// only be settled. An op that is settled without being acked returns its tenant's token.
 func (b *Balancer) setState(op *Op, to opState) {
 	if op.state == stateSettled || op.state == stateStreaming && to != stateSettled {
 		return
--- a/balance/cycle.go
+++ b/balance/cycle.go
@@ -8,39 +8,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// cycle is where hosts stand for the walk: their places, in order.
+// cycle is the consistent-hashing ring: the points of all ready hosts, ordered by hash.
 type cycle struct {
 	points []point
-	hosts  []*Host // hosts that stand on it, or have and are still listed
+	hosts  []*Host // by Host.cycleIndex; nil where a host is gone
 }
 
-// point is a host's place on the cycle. It holds no pointer, for there are tens of thousands.
+// point is one of a host's places on the cycle. It holds no pointer, which spares the garbage collector tens
+// of thousands of them.
 type point struct {
 	hash      uint64
-	hostIndex int32 // the host's place in slots
-	ordinal   int32 // it counts while the host has more than nth active
+	hostIndex int32 // in cycle.hosts
+	ordinal   int32 // the point is active while the host has more than this many active points
 }
 
 func comparePointHash(p point, hash uint64) int { return cmp.Compare(p.hash, hash) }
 
-// search is the first point from a hash on, or past the last.
+// search returns the index of the first point at or after hash, or len(c.points).
 func (c *cycle) search(hash uint64) int {
 	i, _ := slices.BinarySearchFunc(c.points, hash, comparePointHash)
 	return i
 }
 
-// update gives each host so many places. Only what has changed is hashed and sorted: a thousand balancers that sorted
-// all points took most of their CPU.
-func (c *cycle) update(hosts []*Host, places func(*Host) int) {
-	left := false
+// update gives each host as many points as pointCount returns for it. Only points of hosts whose count has
+// changed are hashed and sorted.
+func (c *cycle) update(hosts []*Host, pointCount func(*Host) int) {
+	anyRemoved := false
 	var added []point
 	for _, h := range hosts {
-		n := places(h)
+		n := pointCount(h)
 		if h.pointsChanged = h.pointCount != n; !h.pointsChanged {
 			continue
 		}
-		left = left || h.pointCount > 0
-		if h.pointHashes == nil { // it has no slot yet, or was gone
+		anyRemoved = anyRemoved || h.pointCount > 0
+		if h.pointHashes == nil { // it has no index yet, or was gone
 			if h.cycleIndex = int32(slices.Index(c.hosts, nil)); h.cycleIndex < 0 {
 				h.cycleIndex = int32(len(c.hosts))
 				c.hosts = append(c.hosts, nil)
@@ -53,14 +54,14 @@
 				h.pointHashes = append(h.pointHashes, xxhash.Sum64String(h.Name+"/"+strconv.Itoa(i)))
 			}
 		}
-		for i, p := range h.pointHashes[:n] {
-			added = append(added, point{p, h.cycleIndex, int32(i)})
+		for i, hash := range h.pointHashes[:n] {
+			added = append(added, point{hash, h.cycleIndex, int32(i)})
 		}
 	}
-	if left {
+	if anyRemoved {
 		c.points = slices.DeleteFunc(c.points, func(p point) bool { return c.hosts[p.hostIndex].pointsChanged })
 	}
-	for _, h := range hosts { // gone for good, as far as is known: its slot is the next one's
+	for _, h := range hosts { // free the indexes of hosts that are gone
 		if h.Status == Gone && h.pointHashes != nil {
 			c.hosts[h.cycleIndex], h.pointHashes = nil, nil
 		}
@@ -68,7 +69,7 @@
 	c.merge(added)
 }
 
-// merge adds points, from the back and in runs.
+// merge inserts points in order. It works from the back, so that each existing point moves once at most.
 func (c *cycle) merge(added []point) {
 	slices.SortFunc(added, func(x, y point) int { return cmp.Compare(x.hash, y.hash) })
 	end := len(c.points)
--- a/balance/port.go
+++ b/balance/port.go
@@ -1,64 +1,65 @@
 package balance
 
-// Frontend is what the module asks of the front it runs behind. A front answers nothing: what comes of a
-// request reaches the Balancer later, through its methods.
+// Frontend carries out the Balancer's decisions: it owns the connections, the timer and the clients. Its
+// methods return nothing; results reach the Balancer later, through the Balancer's methods.
 type Frontend interface {
-	Push(p *Push, limit float64)  // send p.Op to p.Host; give the push up after limit ms
-	Cancel(p *Push)               // call a push off; its outcome still comes
-	Nack(op *Op, backoff float64) // end op unserved, safe to repeat, in backoff ms at the earliest
-	DeadLetter(op *Op)            // end op unserved, with no word on whether it ran
-	SetTimer(after float64)       // call Woke after that many ms
-	SubscribeHostList()           // subscribe to the host list; List or ListFailed answers
-	CloseIdleConns(h *Host)       // close the connections to h that carry nothing now
+	Push(p *Push, timeout float64) // send p.Op to p.Host; the push times out after timeout ms
+	Cancel(p *Push)                // cancel a push; its outcome is still reported
+	Nack(op *Op, backoff float64)  // end op unserved, safe to repeat after backoff ms at the earliest
+	DeadLetter(op *Op)             // end op unserved; it may or may not have run
+	SetTimer(delay float64)        // call TimerFired after delay ms
+	SubscribeHostList()            // subscribe to the host list; HostsListed or HostListFailed follows
+	CloseIdleConns(h *Host)        // close the connections to h that carry nothing
 }
 
-// Config is what an instance is told as it comes up.
+// Config holds the settings of a Balancer. They stay the same for its lifetime.
 type Config struct {
 	Seed       uint64
 	Categories []*Category
 	Tenants    []*Tenant
-	GroupSize  int     // balancers in the group, this one included
-	Quantum    float64 // ms, the shortest time between two looks at the input
+	GroupSize  int     // balancers that share the fleet, this one included
+	Quantum    float64 // ms, shortest time between two reads of the input
 
-	CacheAside     bool // misses come back and are fetched from the origin here; else hosts fetch
-	ListOnRequest  bool // the host list has to be asked for
-	BenefitPerWork bool // benefit counts for each unit of work, not for each op
+	CacheAside     bool // a miss is fetched from the origin by the balancer; otherwise hosts fetch themselves
+	ListOnRequest  bool // the host list has to be subscribed to; otherwise it is pushed
+	BenefitPerWork bool // an op's benefit counts per unit of work, not per op
 
-	MaxPushes       int
-	AllowCancel     bool
-	AllowHedging    bool    // two pushes of an op may be out at once
+	MaxPushes       int     // pushes of one op
+	AllowCancel     bool    // pushes can be cancelled
+	AllowHedging    bool    // two pushes of an op may be in flight at once
 	ConnIdleTimeout float64 // ms after which an idle connection closes by itself
-	MaxBackoff      float64 // ms, the longest advice a client heeds; 0 where none is given
+	MaxBackoff      float64 // ms, longest backoff that clients respect; 0 where they take none
 
-	ColdCapacity     float64 // share of its capacity at which a host starts
-	WarmupTime       float64 // ms until it is warm
-	OverloadMultiple float64 // sent this many times what it can do
-	OverloadTime     float64 // for this many ms, a cold host falls over
+	ColdCapacity     float64 // share of its capacity that a host has when it starts
+	WarmupTime       float64 // ms until a host has its full capacity
+	OverloadMultiple float64 // a cold host crashes when it is sent this many times its capacity ...
+	OverloadTime     float64 // ... for this many ms
 
-	Zone, ZoneCount int     // this balancer's zone, below 0 where it is in none, and how many there are
-	CrossZoneCost   float64 // price of a push into another zone
-	FetchCost       float64 // price of a fetch from the origin
+	// The balancer's own zone (below 0: none) and the number of zones.
+	Zone, ZoneCount int
+	CrossZoneCost   float64 // cost of a push into another zone
+	FetchCost       float64 // cost of a fetch from the origin
 
-	ExcessBenefit float64 // part of its benefit that an op over its tenant's share keeps
+	ExcessBenefit float64 // factor on the benefit of an op beyond its tenant's quota
 
-	KeyQuietTime          float64 // ms that a key of ordered ops rests after a push that may still run
-	DeadlineSkew          float64 // ms by which an op's Due may be off, either way
+	KeyQuietTime          float64 // ms that a key's ordered ops wait after a push that may still run
+	DeadlineSkew          float64 // ms by which an op's Deadline may be off, either way
 	UpSinceSkew           float64 // ms by which a host's UpSince may be off, either way
-	GoneIsAdvisory        bool    // a host listed as gone that was never draining may be sent to; not used yet
-	TimelyNackMeetsTarget bool    // an op nacked within its target is no miss, a late answer is one; not used yet
-	ReplySlots            int     // answers that can be held while clients read them; 0 where that is no matter
+	GoneIsAdvisory        bool    // hosts that go without draining may still be used; not used yet
+	TimelyNackMeetsTarget bool    // a nack within the target is no miss, a late answer is one; not used yet
+	ReplySlots            int     // answers that can be buffered for slow clients; 0: not limited
 }
 
-// RepeatPolicy tells whether an op may run again.
+// RepeatPolicy says whether an op may run more than once.
 type RepeatPolicy uint8
 
 const (
-	Redeliverable RepeatPolicy = iota
-	Deduplicated
-	AtMostOnce
+	Redeliverable RepeatPolicy = iota // any number of times
+	Deduplicated                      // hosts of the category's DedupScope drop repeats within its DedupWindow
+	AtMostOnce                        // never again once it may have run
 )
 
-// DedupScope names the hosts among which repeats of a deduplicated op are dropped.
+// DedupScope is the set of hosts among which repeats of a deduplicated op are dropped.
 type DedupScope uint8
 
 const (
@@ -67,33 +68,33 @@
 	DedupCell
 )
 
-// Category is a row of the table of what differs by category. The lower part is learned.
+// Category holds the settings of one category of ops, and the learned latency of its cache hits.
 type Category struct {
 	Target      float64 // ms, target latency
 	Benefit     float64
-	LateBenefit float64 // part of the benefit left for an answer after the target
+	LateBenefit float64 // share of the benefit that an answer after the target still has
 	Repeat      RepeatPolicy
 	DedupScope  DedupScope
 	DedupWindow float64 // ms for which repeats are dropped
-	Ordered     bool    // ops of one key run one at a time, in the order they came
+	Ordered     bool    // ops of one key run one at a time, in order of arrival
 
 	latencyEWMA // of hits
 }
 
-// latencyEWMA is a smoothed latency and its mean deviation.
-type latencyEWMA struct{ avgLatency, latencyDev float64 } // ms
+// latencyEWMA is a smoothed latency with its smoothed mean deviation, in ms.
+type latencyEWMA struct{ avgLatency, latencyDev float64 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is a project that shares the fleet with others.
 type Tenant struct {
-	Quota float64 // ops a second within its share, over all balancers
+	Quota float64 // ops per second, over all balancers
 
-	tokens        float64   // ops left of its part of what this balancer gets acked
-	quotaShare    float64   // of all quotas
-	ackedAtRefill int       // ops acked when tokens was reckoned
-	flow          flowStats // what is known of its ops together
+	tokens        float64   // ops left of the tenant's share of what this balancer gets acked
+	quotaShare    float64   // share of the sum of all quotas
+	ackedAtRefill int       // Balancer.ackedCount when tokens was last refilled
+	flow          flowStats // of all its ops
 }
 
-// Status of a host as the list tells it.
+// Status is a host's status in the host list.
 type Status uint8
 
 const (
@@ -102,121 +103,125 @@
 	Gone
 )
 
-// Host is one cache host, or the origin. The front fills the upper part before it first names the host.
+// Host is a cache host or the origin. The frontend fills in the exported fields before it first passes the
+// host to the Balancer.
 type Host struct {
-	Ref      any    // the front's own handle; never read here
-	Name     string // the same at every balancer; it places the host on the cycle
+	Ref      any    // the frontend's handle; not read here
+	Name     string // the same at every balancer; determines the places on the cycle
 	IsOrigin bool
 
 	Listing      // as last listed
-	Banned  bool // taken out of use by hand, whatever is listed
-
-	pointHashes                 []uint64 // hashes of all its places on the cycle
-	cycleIndex                  int32    // its place among those that stand on the cycle
-	pointCount                  int      // so many of them it has there
-	pointsChanged               bool     // that has changed with the last list
-	activePoints                int      // so many of them stand on the cycle now
-	inFlight                    int      // own pushes out
-	lastPush                    float64  // ms, time of the last push
-	connOpen, connUnproven      bool     // a connection may be open; it was opened for a push not answered yet
-	lastWalk                    int      // the last walk that came by
-	slowdown                    float64  // smoothed latency against the category's usual
-	failRate                    float64  // smoothed share of failures
-	ejectTime, ejectedUntil     float64  // ms of the last rest, and when it ends
-	connBackoff                 float64  // ms, the last wait after a new connection was turned away
-	connBackoffUntil            float64  // ms, its end
-	lastAnswer                  float64  // ms, time of the last answer
-	newestAnsweredPush          float64  // ms, when the last sent of the pushes that it has answered was sent
-	coldBudget, coldBudgetSince float64  // pushes left to a cold host in the span that began then
+	Banned  bool // taken out of use by an operator, whatever the list says
+
+	pointHashes   []uint64 // hashes of its points on the cycle
+	cycleIndex    int32    // index in cycle.hosts
+	pointCount    int      // points that it has on the cycle
+	pointsChanged bool     // pointCount has changed with the last update
+	activePoints  int      // points in use; fewer than pointCount while the host is cold
+	inFlight      int      // pushes of this balancer that the host has not answered
+	lastPush      float64  // ms, time of the last push
+	// A connection may be open; it was opened for a push that has not been answered yet.
+	connOpen, connUnproven bool
+	lastWalk               int     // number of the last walk that has seen the host
+	slowdown               float64 // smoothed latency, as a multiple of the category's usual one
+	failRate               float64 // smoothed share of failures
+	// Length of the last ejection (0 once the host is well again) and when it ends, in ms.
+	ejectTime, ejectedUntil float64
+	connBackoff             float64 // ms, last wait after the host's connection limit was reached
+	connBackoffUntil        float64 // ms, when that wait ends
+	lastAnswer              float64 // ms, time of the last answer
+	newestAnsweredPush      float64 // ms, latest send time among the pushes that it has answered
+	// Pushes left to a cold host in the current window of OverloadTime, and the start of that window in ms.
+	coldBudget, coldBudgetSince float64
 }
 
 // Usable tells whether new ops may go to the host.
 func (h *Host) Usable() bool { return h.Status == Ready && !h.Banned }
 
-// Listing is what a list says of a host.
+// Listing is what the host list says about a host.
 type Listing struct {
 	Zone, Cell int
-	Size       float64 // size in relation to the others
-	UpSince    float64 // ms, 0 for long ago
+	Size       float64 // capacity in relation to the other hosts
+	UpSince    float64 // ms; 0: long ago
 	Status     Status
 }
 
-// HostEntry is one line of a list.
+// HostEntry is one entry of a host list.
 type HostEntry struct {
 	Host *Host
 	Listing
 }
 
-// Outcome is how a push ended.
+// Outcome says how a push ended.
 type Outcome uint8
 
 const (
 	Served         Outcome = iota
 	Failed                 // the host answered with an error
-	Overloaded             // turned away unseen
+	Overloaded             // turned away without being processed
 	TimedOut               // no answer in time
 	ConnectFailed          // no connection could be made
 	ConnBroken             // the connection broke
-	InvalidAnswer          // an answer came that can't be believed; it may have run
-	StaleConn              // the connection, kept from before, ended with no word on the push; it may have run
-	InvalidOp              // the host holds the op itself for wrong; it may have run
-	Cancelled              // called off
+	InvalidAnswer          // the answer is malformed; the op may have run
+	StaleConn              // a kept-alive connection ended without an answer; the op may have run
+	InvalidOp              // the host considers the op itself invalid; it may have run
+	Cancelled              // by Frontend.Cancel
 	NotSent                // the push never left
 	CacheMiss              // the host does not hold the key
-	ConnLimited            // turned away with its new connection, as the host holds no more of them
-	UnknownOutcome         // an outcome not on this list: it may have run
+	ConnLimited            // the host turned the new connection away, for it holds no more of them
+	UnknownOutcome         // anything else; the op may have run
 )
 
-// Op is one request. The front fills the upper part before Arrive.
+// Op is one request. The frontend fills in the exported fields before it calls OpArrived.
 type Op struct {
-	Ref      any // the front's own handle; never read here
+	Ref      any // the frontend's handle; not read here
 	Category *Category
-	Tenant   *Tenant // nil where there are none
+	Tenant   *Tenant // nil without tenants
 	Key      string
-	Deadline float64 // ms, when the client stops waiting; Arrive puts it off where clocks may differ
+	Deadline float64 // ms, when the client stops waiting; OpArrived extends it by Config.DeadlineSkew at most
 	IsWrite  bool
 
 	state         opState
 	keyHash       uint64
-	arrivedAt     float64
-	priority      float64
-	pushes        []*Push       // all its pushes, the first in front
-	pushBuf       [1]*Push      // room for that: most have one
-	inFlight      int           // pushes that are out: one, or two
+	arrivedAt     float64       // ms
+	priority      float64       // the benefit of serving it, weighed by its cost and its tenant's quota
+	pushes        []*Push       // in order of sending
+	pushBuf       [1]*Push      // backs pushes: most ops have one
+	inFlight      int           // pushes without an outcome: at most two
 	failedHost    *Host         // last host that failed it
-	errorHost     *Host         // host that held the op itself for wrong, or failed it
-	streamingPush *Push         // the push whose answer flows
+	errorHost     *Host         // cache host that answered it with an error (Failed or InvalidOp)
+	streamingPush *Push         // push whose answer is being streamed
 	fetch         *fetch        // led by this op
-	giveUpAt      float64       // ms, when it is given up
-	flows         [2]*flowStats // its key's and its tenant's
-	acked         bool          // an answer of it was taken
-	withinQuota   bool          // it counts as within its tenant's share
-	giveUpTimer   timer         // until
-	keyQueue      *keyQueue     // its key's, where it is in order; nil once nothing more can come of it
+	giveUpAt      float64       // ms
+	flows         [2]*flowStats // of its key and of its tenant
+	acked         bool          // it was answered
+	withinQuota   bool          // it has taken one of its tenant's tokens
+	giveUpTimer   timer         // for giveUpAt
+	keyQueue      *keyQueue     // of an ordered op's key; nil once the op is done
 }
 
-// Push is one attempt at an op. The front gets it with the word to send and hands it back with its outcome.
+// Push is one attempt at an op. The frontend gets it with Frontend.Push and hands it back with its outcome.
 type Push struct {
-	Ref    any // the front's own handle; never read here
+	Ref    any // the frontend's handle; not read here
 	Op     *Op
 	Host   *Host
-	SendBy float64 // ms, when its last byte has to be on its way, or the push is over, NotSent
+	SendBy float64 // ms; a push that is not wholly sent by then ends as NotSent
 
 	sentAt     float64  // ms
-	localWait  float64  // ms that it had to wait for its own process, not yet reckoned with
-	limiter    *limiter // whose place it takes
+	localWait  float64  // ms that it waited in this process, not yet added to checkTimer
+	limiter    *limiter // that admitted it
 	checkTimer timer
 	newConn    bool // a connection was made for it
-	rechecked  bool // it has been looked at, and left
-	cancelled  bool // it has been called off
-	ended      bool // its outcome has come
-	neverRan   bool // that proves that it never ran
+	rechecked  bool // its check was put off once
+	cancelled  bool // Frontend.Cancel was called
+	ended      bool // its outcome is known
+	neverRan   bool // the outcome proves that the op did not run
 }
 
-// LoadReport is what a host tells of its load with an answer, old and not exact; below 0 what it does not.
+// LoadReport is the load that a host reports with an answer. Fields below 0 are not reported.
 type LoadReport struct {
-	Busy float64 // share of its cores' time
+	Busy float64 // share of its cores' time in use
 }
 
-// IsDone tells that nothing more can come of the op: it is settled and no push is out.
+// IsDone tells whether the op is settled and none of its pushes is in flight.
 func (op *Op) IsDone() bool { return op.state == stateSettled && op.inFlight == 0 }
