--- a/balance/balance.go
+++ b/balance/balance.go
@@ -220,7 +220,7 @@
 // Advance sets the time, in ms, and settles the ops that are due.
 func (b *Balancer) Advance(now float64) {
 	b.now = now
-	for t, ok := b.opTimers.Due(now); ok; t, ok = b.opTimers.Due(now) {
+	for t, ok := b.opTimers.PopDue(now); ok; t, ok = b.opTimers.PopDue(now) {
 		switch op := t.op; {
 		case op == nil: // a key queue's quiet time is over
 			b.startNext(t.keyQueue)
@@ -273,13 +273,13 @@
 		return
 	}
 	// Pushes are checked after all input of the round, which may hold their answers.
-	for t, ok := b.pushTimers.Due(b.now); ok; t, ok = b.pushTimers.Due(b.now) {
+	for t, ok := b.pushTimers.PopDue(b.now); ok; t, ok = b.pushTimers.PopDue(b.now) {
 		switch p := t.push; {
 		case p.localWait > 0:
 			if p.newConn {
 				p.localWait += b.connSetup.avgLatency + checkDelayDevs*b.connSetup.latencyDev
 			}
-			b.schedule(&b.pushTimers, t, t.At()+p.localWait)
+			b.schedule(&b.pushTimers, t, t.DueAt()+p.localWait)
 			p.localWait = 0
 		case p.Op.state < stateStreaming:
 			b.checkSlowPush(p)
@@ -303,7 +303,7 @@
 		}
 		b.dispatch(lim)
 	}
-	next := min(b.lastSweep+sweepInterval, b.opTimers.Next(), b.pushTimers.Next())
+	next := min(b.lastSweep+sweepInterval, b.opTimers.NextDue(), b.pushTimers.NextDue())
 	if len(b.fleetLimiter.queue)+len(b.originLimiter.queue) > 0 {
 		next = math.Min(next, b.now+tickInterval)
 	}
--- a/cmd/larchthread/speed_test.go
+++ b/cmd/larchthread/speed_test.go
@@ -35,8 +35,8 @@
 
 // quick adds a cache host that answers each command with one byte after a while, and notes nothing.
 func (f *fleet) quick(name string, delay time.Duration) {
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry(name, l.Addr().String(), "box", "in_service"))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON(name, l.Addr().String(), "box", "in_service"))
 	f.Serve(l, func(c net.Conn) { quickly(c, delay) })
 }
 
@@ -52,7 +52,7 @@
 		panic(err)
 	}
 	for lines, i := bufio.NewScanner(out), 0; i < n && lines.Scan(); i++ {
-		f.Members = append(f.Members, standin.ListEntry(fmt.Sprint("h", i), lines.Text(), "box", "in_service"))
+		f.Members = append(f.Members, standin.MemberJSON(fmt.Sprint("h", i), lines.Text(), "box", "in_service"))
 	}
 	return func() {
 		p.Process.Kill()
@@ -70,7 +70,7 @@
 	}
 	f := &fleet{}
 	for range many {
-		l := standin.Anywhere()
+		l := standin.ListenLoopback()
 		f.Serve(l, func(c net.Conn) { quickly(c, delay) })
 		fmt.Println(l.Addr())
 	}
--- a/cmd/larchthread/time_left_connection_test.go
+++ b/cmd/larchthread/time_left_connection_test.go
@@ -73,9 +73,9 @@
 // A long write whose last byte leaves late, as the origin reads slowly, tells it no more than is left then.
 func TestTimeLeftOfLongWriteToOrigin(t *testing.T) {
 	f := &fleet{settings: longTTLSettings()}
-	f.Host("a", miss)
+	f.AddHost("a", miss)
 	l := newStallingListener(t, 700*time.Millisecond)
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	f.ServeOrigin(l, handleOrigin)
 	c := startFleet(t, f)
 	r := c.sendRequest(t, longWrite)
@@ -88,7 +88,7 @@
 func TestTimeLeftOfLongWriteToHost(t *testing.T) {
 	f := &fleet{settings: longTTLSettings(`"mode":"aside",`, ``)}
 	l := newStallingListener(t, 700*time.Millisecond)
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	f.ServeHost("a", l, stored)
 	c := startFleet(t, f)
 	r := c.sendRequest(t, longWrite)
@@ -105,7 +105,7 @@
 // A host to which a connection comes up late is told what is left by then.
 func TestTimeLeftOnLateConnectionToHost(t *testing.T) {
 	f, h := &fleet{settings: lateTo()}, newSlowConnectHost()
-	f.Members = append(f.Members, standin.ListEntry("a", h.Addr().String(), standin.KindHost, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("a", h.Addr().String(), standin.KindHost, standin.InService))
 	c := startFleet(t, f)
 	h.fillBacklog()
 	defer h.backlogConn.Close()
@@ -120,8 +120,8 @@
 // The same for the origin.
 func TestTimeLeftOnLateConnectionToOrigin(t *testing.T) {
 	f, h := &fleet{settings: lateTo()}, newSlowConnectHost()
-	f.Host("a", miss)
-	f.Members = append(f.Members, standin.ListEntry("log", h.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	f.Members = append(f.Members, standin.MemberJSON("log", h.Addr().String(), standin.KindOrigin, standin.InService))
 	c := startFleet(t, f)
 	h.fillBacklog()
 	defer h.backlogConn.Close()
--- a/cmd/larchthread/time_left_reading_test.go
+++ b/cmd/larchthread/time_left_reading_test.go
@@ -36,7 +36,7 @@
 		atOnce     = 8   // commands that are sent together, no more than its host may have out
 	)
 	f := &fleet{settings: longTTLSettings(`"targetLatencyUs":200000`, `"targetLatencyUs":2000000`)} // so that the slow one narrows no gate
-	f.Host("a", hitWithSlowKey(900*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(900*time.Millisecond))
 	c := startFleet(t, f)
 	var sent []request
 	send := func(n int) {
--- a/cmd/larchthread/time_left_test.go
+++ b/cmd/larchthread/time_left_test.go
@@ -56,9 +56,9 @@
 func startWithHosts(t *testing.T, f *fleet, hosts ...func([]string) string) *client {
 	t.Helper()
 	for i, say := range hosts {
-		f.Host(string(rune('a'+i)), say)
+		f.AddHost(string(rune('a'+i)), say)
 	}
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	return startFleet(t, f)
 }
 
@@ -117,7 +117,7 @@
 // attempts are those of a request that the servers have recorded.
 func (f *fleet) attempts(r request) (own []standin.Attempt) {
 	for _, a := range f.Attempts() {
-		if a.Op == r.id {
+		if a.OpID == r.id {
 			own = append(own, a)
 		}
 	}
@@ -130,7 +130,7 @@
 	for _, a := range f.attempts(r) {
 		left := r.left(a)
 		if a.TimeLeft <= 0 || a.TimeLeft > r.timeLeft || a.TimeLeft > left+timeLeftTolerance {
-			t.Errorf("op %s, %s at %s: told d=%s, %v of %v was left", a.Op, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
+			t.Errorf("op %s, %s at %s: told d=%s, %v of %v was left", a.OpID, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
 		}
 	}
 }
@@ -141,13 +141,13 @@
 	f.checkTimeLeftLimit(t, r)
 	for _, a := range f.attempts(r) {
 		if left := r.left(a); float64(a.TimeLeft) < leastPart*float64(left) {
-			t.Errorf("op %s, %s at %s: told d=%s, needlessly small: %v of %v was left", a.Op, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
+			t.Errorf("op %s, %s at %s: told d=%s, needlessly small: %v of %v was left", a.OpID, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
 		}
 	}
 }
 
 // left is what was left to the client when an attempt had come.
-func (r request) left(a standin.Attempt) time.Duration { return r.timeLeft - a.Came.Sub(r.sent) }
+func (r request) left(a standin.Attempt) time.Duration { return r.timeLeft - a.ReceivedAt.Sub(r.sent) }
 
 // checkServers fails where a request's attempts were not at these servers, in this order. A name may be a pattern.
 func (f *fleet) checkServers(t *testing.T, r request, want ...string) {
@@ -230,7 +230,7 @@
 		f.checkTimeLeft(t, r)
 		for _, a := range f.attempts(r) {
 			if a.Attributes != op.attributes || a.Repeat != op.repeat {
-				t.Errorf("op %s at %s: list %q, repeat %t, want %q, %t", a.Op, a.Server, a.Attributes, a.Repeat, op.attributes, op.repeat)
+				t.Errorf("op %s at %s: list %q, repeat %t, want %q, %t", a.OpID, a.Server, a.Attributes, a.Repeat, op.attributes, op.repeat)
 			}
 		}
 	}
