--- a/cmd/larchthread/control_test.go
+++ b/cmd/larchthread/control_test.go
@@ -142,13 +142,13 @@
 	c := startControlCluster(t)
 	link := c.links["a"]
 	hole := func(on bool) {
-		link.Set(trial.Out, trial.Impairment{Hole: on})
-		link.Set(trial.Back, trial.Impairment{Hole: on})
+		link.SetImpairment(trial.Out, trial.Impairment{Blackhole: on})
+		link.SetImpairment(trial.Back, trial.Impairment{Blackhole: on})
 	}
 	for _, fault := range []struct {
 		name string
 		set  func(on bool)
-	}{{"cut", link.Cut}, {"hole", hole}} {
+	}{{"cut", link.SetCut}, {"hole", hole}} {
 		stales := c.checker("onlya").staleCount
 		fault.set(true)
 		c.publish(testChanges(fault.name, 100))
@@ -166,10 +166,10 @@
 	c := startControlCluster(t)
 	c.publish(testChanges("before", 40)) // who knows nothing gets a reset in place of sets
 	c.waitCurrent()
-	c.links["a"].Cut(true)
+	c.links["a"].SetCut(true)
 	c.publish(testChanges("cut", 1200))
 	c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
-	c.links["a"].Cut(false)
+	c.links["a"].SetCut(false)
 	c.waitCurrent()
 	c.checkSettings()
 	if checker := c.checker("onlya"); checker.setCount == 0 || checker.resetCount > 0 {
@@ -200,7 +200,7 @@
 	c := startControlCluster(t)
 	slow := trial.Impairment{Delay: milliseconds(30), Jitter: milliseconds(10)}
 	for _, name := range controlRelays {
-		c.links[name].Set(trial.Back, slow)
+		c.links[name].SetImpairment(trial.Back, slow)
 	}
 	for round := range 2 {
 		amid := c.startPublishing(testChanges(fmt.Sprint("amid", round), 2000))
@@ -210,7 +210,7 @@
 		c.publisher.start()
 		c.breakAmidMessage("b")
 		c.publish(testChanges(fmt.Sprint("after", round), 4*settingsKeys))
-		c.links["b"].Set(trial.Back, slow)
+		c.links["b"].SetImpairment(trial.Back, slow)
 		c.waitCurrent()
 	}
 	c.checkSettings()
@@ -222,7 +222,7 @@
 	const bytes = 300
 	lost := func() int { return strings.Count(c.relays[relay].log.String(), "connection lost") }
 	before := lost()
-	c.links[relay].Set(trial.Back, trial.Impairment{Sever: bytes})
+	c.links[relay].SetImpairment(trial.Back, trial.Impairment{ResetAfter: bytes})
 	waitUntil(c.t, "a connection breaks", func() bool { return lost() > before }, c.relays[relay].log.String)
 }
 
@@ -274,8 +274,8 @@
 	c.waitCurrent()
 	c.linkTargets["a"].Store(&old.address)
 	old.start()
-	c.links["a"].Cut(true)
-	c.links["a"].Cut(false)
+	c.links["a"].SetCut(true)
+	c.links["a"].SetCut(false)
 	old.waitFor("it is fenced", func(said []string) bool {
 		if _, err := io.WriteString(old.input, "purges never\n"); err != nil {
 			t.Fatal(err)
--- a/cmd/larchthread/spoilt_test.go
+++ b/cmd/larchthread/spoilt_test.go
@@ -11,7 +11,7 @@
 // In a build with the tag the trial spoils files and clocks of a running process; one that starts meanwhile starts with its
 // clock off.
 func TestSpoilt(t *testing.T) {
-	p, err := trial.Read([]byte(`
+	p, err := trial.ParsePlan([]byte(`
 name: files and clocks
 load: {for: 2.5s, rate: 100}
 faults:
--- a/cmd/larchthread/trial.go
+++ b/cmd/larchthread/trial.go
@@ -53,7 +53,7 @@
 		Short: "Run a fleet on this machine, inject the faults of a plan, and check the rules (docs/trial.md)",
 		Long: "Start balancers and simulated cache hosts on loopback, send ops, inject the faults of a plan, and check the rules\n" +
 			"against what clients and hosts saw. The exit code is 1 if a rule was broken.\n\nFaults and the parts they apply to:\n\n" +
-			trial.Kinds(),
+			trial.FaultTable(),
 		Example: "  larchthread trial plan.yaml --report report.html\n  larchthread trial --draw 20 --seed 1 --shrink",
 		RunE: func(c *cobra.Command, files []string) error {
 			plans, err := t.loadPlans(files)
@@ -78,7 +78,7 @@
 		Args:    cobra.NoArgs,
 		Example: "  go run ./cmd/larchthread try",
 		RunE: func(c *cobra.Command, _ []string) error {
-			p, err := trial.Read([]byte(demoPlan))
+			p, err := trial.ParsePlan([]byte(demoPlan))
 			if err != nil {
 				return err
 			}
@@ -99,14 +99,14 @@
 		return nil, errors.New("no plan: name a file, or draw some with --draw")
 	}
 	for i := range t.drawCount {
-		plans = append(plans, trial.Draw(t.seed+uint64(i)))
+		plans = append(plans, trial.RandomPlan(t.seed+uint64(i)))
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
 			return nil, err
 		}
-		p, err := trial.Read(text)
+		p, err := trial.ParsePlan(text)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", f, err)
 		}
@@ -134,7 +134,7 @@
 		}
 	}
 	run := func(ctx context.Context, p trial.Plan) (*trial.Result, error) {
-		cluster := &trial.Cluster{Program: program, Args: []string{"serve"}, Env: t.serverEnv, Say: progress}
+		cluster := &trial.Cluster{Program: program, Args: []string{"serve"}, Env: t.serverEnv, Logf: progress}
 		return cluster.Run(ctx, p)
 	}
 	failed := 0
@@ -153,7 +153,7 @@
 			continue
 		}
 		if failed++; t.shrink {
-			smallest, err := trial.Shrink(ctx, p, r.Rules(), run)
+			smallest, err := trial.Shrink(ctx, p, r.BrokenRules(), run)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
 				return exitError(exitFailure)
@@ -177,9 +177,9 @@
 			return err
 		}
 	case short && !r.Failed():
-		fmt.Fprintf(w, "%s: kept, %.1f%% in time\n", r.Name, 100*r.Service())
+		fmt.Fprintf(w, "%s: kept, %.1f%% in time\n", r.Name, 100*r.InTimeShare())
 	default:
-		r.Table(w)
+		r.WriteTable(w)
 		if r.Failed() {
 			fmt.Fprintf(w, "\nthe plan:\n%s", r.Plan)
 		}
@@ -195,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(r.HTML(f), f.Close()); err != nil {
+	if err := errors.Join(r.WriteHTML(f), f.Close()); err != nil {
 		return err
 	}
 	fmt.Fprintln(w, "report:", name)
--- a/cmd/larchthread/trial_test.go
+++ b/cmd/larchthread/trial_test.go
@@ -25,9 +25,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Failed() || len(r.Trouble) > 0 {
+	if r.Failed() || len(r.ClusterErrors) > 0 {
 		var b bytes.Buffer
-		r.Table(&b)
+		r.WriteTable(&b)
 		t.Errorf("%s\n%s", &b, r.Plan)
 	}
 	return r
@@ -80,7 +80,7 @@
 		if faults != "" {
 			text += "faults:" + faults
 		}
-		p, err := trial.Read([]byte(text))
+		p, err := trial.ParsePlan([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,8 +91,8 @@
 				two <- true
 				defer func() { <-two }()
 				r := runPlan(t, p)
-				if least := 0.3; r.Service() < least {
-					t.Errorf("%.2f of the ops in time, want %v", r.Service(), least)
+				if least := 0.3; r.InTimeShare() < least {
+					t.Errorf("%.2f of the ops in time, want %v", r.InTimeShare(), least)
 				}
 			})
 		}()
@@ -186,13 +186,13 @@
 
 // A report is one file with everything in it.
 func TestTrialReport(t *testing.T) {
-	p, err := trial.Read([]byte("fleet: {balancers: 1, hosts: 2}\nload: {for: 1s, rate: 50}\nfaults: [{at: 0.2s, for: 0.3s, what: slow, of: [h1], by: 5}]"))
+	p, err := trial.ParsePlan([]byte("fleet: {balancers: 1, hosts: 2}\nload: {for: 1s, rate: 50}\nfaults: [{at: 0.2s, for: 0.3s, what: slow, of: [h1], by: 5}]"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := runPlan(t, p)
 	var html bytes.Buffer
-	if err := r.HTML(&html); err != nil {
+	if err := r.WriteHTML(&html); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"all rules kept", "pushes by host: h1 ", "0.20s slow 5 h1 for 300ms", "what: slow"} {
@@ -219,7 +219,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &few); err != nil {
 		t.Fatal(err)
 	}
-	p := trial.Usual()
+	p := trial.DefaultPlan()
 	p.Fleet.Hosts = 100
 	cluster := &trial.Cluster{Program: os.Args[0], Args: []string{"serve"}, Env: []string{"LARCHTHREAD_SERVE=1"}}
 	_, err := cluster.Run(context.Background(), p)
