--- a/cmd/larchthread/scale_feed.go
+++ b/cmd/larchthread/scale_feed.go
@@ -52,7 +52,7 @@
 	flags.IntVar(&s.options.KillRelays, "kill-relays", 0, "number of relays to kill in mid-run; their connections end")
 	flags.IntVar(&s.options.FreezeRelays, "freeze-relays", 0, "number of relays to freeze in mid-run; their connections stay open")
 	flags.IntVar(&s.options.CutSize, "cut-region", 0, "number of balancers in a region to cut off in mid-run")
-	flags.DurationVar(&s.options.Cut, "cut", 2*time.Minute, "duration of the cut")
+	flags.DurationVar(&s.options.CutDuration, "cut", 2*time.Minute, "duration of the cut")
 	flags.BoolVar(&s.options.RestartAll, "restart-all", false, "kill and restart publisher and relays in mid-run")
 	flags.StringVar(&s.htmlPath, "html", "", "write a report with plots to this file")
 	return c
--- a/cmd/larchthread/scale_feed_test.go
+++ b/cmd/larchthread/scale_feed_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("%d processes were measured, want %d; faults: %+v", len(result.Processes), alive, result.Faults)
 	}
 	for _, kind := range []feedscale.Kind{feedscale.Settings, feedscale.Purges} {
-		if of := result.Kinds[kind]; of.Published == 0 || of.Failed > 0 || of.Everywhere.Count+of.Partial != of.Published {
+		if of := result.Kinds[kind]; of.Published == 0 || of.Failed > 0 || of.PropagationLatency.Count+of.Partial != of.Published {
 			t.Errorf("%v: %+v", kind, of)
 		}
 	}
