--- a/cmd/larchthread/scale.go
+++ b/cmd/larchthread/scale.go
@@ -87,7 +87,7 @@
 // scaleWatchCommand returns the command that measures the watch on discovery.
 func scaleWatchCommand(asJSON *bool) *cobra.Command {
 	balancers := []int{50, 200, 600, 1700}
-	config := scale.WatchConfig{Hosts: scale.TargetHosts, Idle: 4 * time.Second, Absence: 3 * time.Second}
+	config := scale.WatchConfig{Hosts: scale.TargetHosts, IdleDuration: 4 * time.Second, OutageDuration: 3 * time.Second}
 	c := &cobra.Command{Use: "watch",
 		Short: "Discovery watch: many balancers without clients and one real process",
 		Args:  cobra.NoArgs,
@@ -105,8 +105,8 @@
 		}}
 	c.Flags().IntSliceVar(&balancers, "balancers", balancers, "numbers of balancers")
 	c.Flags().IntVar(&config.Hosts, "hosts", config.Hosts, "cache hosts in the list")
-	c.Flags().DurationVar(&config.Idle, "idle", config.Idle, "duration of the measurement of the idle watch")
-	c.Flags().DurationVar(&config.Absence, "absence", config.Absence, "duration of the outage of discovery")
+	c.Flags().DurationVar(&config.IdleDuration, "idle", config.IdleDuration, "duration of the measurement of the idle watch")
+	c.Flags().DurationVar(&config.OutageDuration, "absence", config.OutageDuration, "duration of the outage of discovery")
 	return c
 }
 
