--- a/internal/feed/feednet/changelog.go
+++ b/internal/feed/feednet/changelog.go
@@ -18,27 +18,26 @@
 	logName  = "changes.log"
 	lockName = "lock"
 
-	minCompactSize   = 4 << 20 // bytes; a shorter log is not compacted
-	compactionFactor = 4       // a log is compacted once it is so many times as long as after its last compaction
-	changesPerRecord = 4096    // of a compacted log
+	minCompactSize   = 4 << 20 // bytes; a smaller log is not compacted
+	compactionFactor = 4       // growth, relative to the size when the log was opened or compacted, that triggers compaction
+	changesPerRecord = 4096    // in a compacted log
 )
 
-// changeLog is a publisher's durable log: the changes that it has acknowledged, in their order. It is not safe for
-// concurrent use.
+// changeLog is a publisher's durable log of changes, in the order of publication. It is not safe for concurrent use.
 type changeLog struct {
-	files     machine.FileSystem
-	directory string
-	path      string
-	header    logHeader
-	lock      *os.File
-	file      machine.File
-	size      int   // bytes of the file
-	compactAt int   // size from which it is compacted
-	failure   error // of the first write that failed; there are no more after it
+	files               machine.FileSystem
+	directory           string
+	path                string
+	header              logHeader
+	lock                *os.File
+	file                machine.File
+	size                int   // of the file, in bytes
+	compactionThreshold int   // file size, in bytes, at which it is compacted
+	writeErr            error // of the first failed write or compaction; later calls return it
 }
 
-// openChangeLog opens the log in a directory, or begins one, and returns the changes that it holds. What an incomplete last
-// write has left behind is cut off. Another process that has it open is a *LockedError.
+// openChangeLog opens the log in a directory, or creates one, and returns the changes in it. It logs and truncates an
+// incomplete last write. Errors are a *LockedError, *DiskError, *CorruptLogError or *ForeignLogError.
 func openChangeLog(files machine.FileSystem, directory string, header logHeader, logger *slog.Logger) (
 	*changeLog, []feed.Change, error) {
 	lock, err := lockDirectory(directory)
@@ -54,7 +53,8 @@
 	return log, changes, nil
 }
 
-// lockDirectory keeps other processes out until the returned file is closed.
+// lockDirectory takes an exclusive lock on a directory, held until the returned file is closed. It returns a *LockedError
+// if another publisher holds the lock, and a *DiskError for any other failure.
 func lockDirectory(directory string) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(directory, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return file, nil
 }
 
-// load reads the log and opens it for appending. What it returns is on the disk, not just in the kernel's memory.
+// load reads the log, creating it if missing, and opens it for appending. The changes that it returns have been synced.
 func (l *changeLog) load(logger *slog.Logger) ([]feed.Change, error) {
 	data, err := l.files.ReadFile(l.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -81,53 +81,55 @@
 	if err != nil {
 		return nil, &DiskError{err}
 	}
-	changes, whole, err := l.read(data)
+	changes, validSize, err := l.read(data)
 	if err != nil {
 		return nil, err
 	}
-	if whole < len(data) {
-		logger.Warn("publisher's log: cut off an incomplete last write", "path", l.path, "kept", whole, "cut", len(data)-whole)
-		return changes, l.replace(data[:whole])
+	if validSize < len(data) {
+		logger.Warn("publisher's log: truncated an incomplete last write",
+			"path", l.path, "kept", validSize, "cut", len(data)-validSize)
+		return changes, l.replace(data[:validSize])
 	}
-	return changes, l.open(whole)
+	return changes, l.open(validSize)
 }
 
-// read returns the changes in a log's text, and how many bytes of it are whole records.
-func (l *changeLog) read(data []byte) (changes []feed.Change, whole int, err error) {
-	payload, whole, err := readRecord(data)
+// read decodes a log file. It returns the changes and the size, in bytes, of the records before an incomplete last write.
+// Errors are a *CorruptLogError or a *ForeignLogError.
+func (l *changeLog) read(data []byte) (changes []feed.Change, validSize int, err error) {
+	payload, validSize, err := readRecord(data)
 	if err != nil {
-		return nil, 0, l.corrupt(0, err)
+		return nil, 0, l.corruptLogError(0, err)
 	}
 	header, err := decodeLogHeader(payload)
 	if err != nil {
-		return nil, 0, l.corrupt(0, err)
+		return nil, 0, l.corruptLogError(0, err)
 	}
 	if header.Version != l.header.Version || header.Cluster != l.header.Cluster || !slices.Equal(header.Kinds, l.header.Kinds) {
 		return nil, 0, &ForeignLogError{l.path, header.String(), l.header.String()}
 	}
-	for whole < len(data) {
-		payload, size, err := readRecord(data[whole:])
-		if err != nil && holdsRecord(data[whole:]) {
-			return nil, 0, l.corrupt(whole, err)
+	for validSize < len(data) {
+		payload, recordSize, err := readRecord(data[validSize:])
+		if err != nil && containsRecord(data[validSize:]) {
+			return nil, 0, l.corruptLogError(validSize, err)
 		}
 		if err != nil {
-			return changes, whole, nil
+			return changes, validSize, nil
 		}
-		written, err := decodeChanges(payload)
+		decoded, err := decodeChanges(payload)
 		if err != nil {
-			return nil, 0, l.corrupt(whole, err)
+			return nil, 0, l.corruptLogError(validSize, err)
 		}
-		changes = append(changes, written...)
-		whole += size
+		changes = append(changes, decoded...)
+		validSize += recordSize
 	}
-	return changes, whole, nil
+	return changes, validSize, nil
 }
 
-func (l *changeLog) corrupt(offset int, err error) error {
+func (l *changeLog) corruptLogError(offset int, err error) error {
 	return &CorruptLogError{l.path, offset, err.Error()}
 }
 
-// replace puts a text in place of the file, or an empty log where there is none, and opens it for appending.
+// replace atomically replaces the file and opens it for appending. With nil data it writes an empty log.
 func (l *changeLog) replace(data []byte) error {
 	if data == nil {
 		data = appendRecord(nil, l.header.encode())
@@ -138,7 +140,7 @@
 	return l.open(len(data))
 }
 
-// open opens the file for appending and brings all of it to the disk.
+// open opens the file, which has size bytes, for appending and syncs it.
 func (l *changeLog) open(size int) error {
 	file, err := l.files.Append(l.path)
 	if err != nil {
@@ -150,14 +152,14 @@
 	}
 	l.file = file
 	l.size = size
-	l.compactAt = max(minCompactSize, compactionFactor*size)
+	l.compactionThreshold = max(minCompactSize, compactionFactor*size)
 	return nil
 }
 
-// append writes changes and returns once the disk has them. After an error all calls return it.
+// append writes changes as one record and syncs the file. After a *DiskError every further call returns that error.
 func (l *changeLog) append(changes []feed.Change) error {
-	if l.failure != nil {
-		return l.failure
+	if l.writeErr != nil {
+		return l.writeErr
 	}
 	record := appendRecord(nil, encodeChanges(changes))
 	_, err := l.file.Write(record)
@@ -165,23 +167,23 @@
 		err = l.file.Sync()
 	}
 	if err != nil {
-		l.failure = &DiskError{err}
-		return l.failure
+		l.writeErr = &DiskError{err}
+		return l.writeErr
 	}
 	l.size += len(record)
 	return nil
 }
 
-// full tells whether the log is long enough to be compacted.
-func (l *changeLog) full() bool {
-	return l.size >= l.compactAt
+// needsCompaction reports whether the log has reached its compaction threshold.
+func (l *changeLog) needsCompaction() bool {
+	return l.size >= l.compactionThreshold
 }
 
-// compact puts a log that holds just these changes in place of the file. A process or machine that ends amid it leaves the
-// old file or the new one. After an error all calls return it.
+// compact atomically replaces the file with a log of the given changes; a crash leaves the old file or the new one. After
+// a failed replacement every further call returns that error.
 func (l *changeLog) compact(retained []feed.Change) error {
-	if l.failure != nil {
-		return l.failure
+	if l.writeErr != nil {
+		return l.writeErr
 	}
 	data := appendRecord(nil, l.header.encode())
 	for part := range slices.Chunk(retained, changesPerRecord) {
@@ -189,13 +191,13 @@
 	}
 	old := l.file
 	if err := l.replace(data); err != nil {
-		l.failure = err
+		l.writeErr = err
 		return err
 	}
 	return old.Close()
 }
 
-// close closes the log and lets other processes have it.
+// close closes the file and releases the lock.
 func (l *changeLog) close() error {
 	return errors.Join(l.file.Close(), l.lock.Close())
 }
--- a/internal/feed/feednet/changelog_test.go
+++ b/internal/feed/feednet/changelog_test.go
@@ -17,8 +17,8 @@
 
 var testHeader = logHeader{Version: logVersion, Cluster: "test", Kinds: []string{"settings", "purges"}}
 
-// testChange is the change of a kind with a sequence number; no two have the same key. Its last byte is not zero, so that a
-// record filled up with zeros differs from the whole one.
+// testChange returns a change with a unique key. Its value does not end with a zero byte, so that a truncated record padded
+// with zeros differs from the intact one.
 func testChange(kind feed.Kind, sequence int) feed.Change {
 	return feed.Change{
 		Kind:     kind,
@@ -28,19 +28,20 @@
 	}
 }
 
-// openTestLog opens a log on the disk.
-func openTestLog(t *testing.T, directory string, said *bytes.Buffer) (*changeLog, []feed.Change) {
+// openTestLog opens a log on the local file system.
+func openTestLog(t *testing.T, directory string, logOutput *bytes.Buffer) (*changeLog, []feed.Change) {
 	t.Helper()
-	log, changes, err := openChangeLog(machine.LocalFileSystem(), directory, testHeader, slog.New(slog.NewTextHandler(said, nil)))
+	log, changes, err := openChangeLog(machine.LocalFileSystem(), directory, testHeader,
+		slog.New(slog.NewTextHandler(logOutput, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return log, changes
 }
 
-// writtenLog writes some appends of one to three changes, and returns the log's text, its changes, and the size of the
-// file after each append with the number of changes that were acknowledged by then.
-func writtenLog(t *testing.T) (text []byte, changes []feed.Change, acknowledged map[int]int) {
+// writeTestLog appends batches of one to three changes to a log. It returns the file's content, the changes, and the number
+// of acknowledged changes by file size after each append.
+func writeTestLog(t *testing.T) (text []byte, changes []feed.Change, acknowledged map[int]int) {
 	t.Helper()
 	directory := t.TempDir()
 	log, _ := openTestLog(t, directory, &bytes.Buffer{})
@@ -66,22 +67,21 @@
 	return text, changes, acknowledged
 }
 
-func sameChanges(a, b []feed.Change) bool {
+func equalChanges(a, b []feed.Change) bool {
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// A crash may leave the file cut at any byte. Every acknowledged change is there then, no other one, and none by half; the
-// cut is logged, and the log goes on.
+// Truncation at any byte must leave exactly the acknowledged changes, be logged, and allow further appends.
 func TestLogCutAtEveryByte(t *testing.T) {
-	text, changes, acknowledged := writtenLog(t)
+	text, changes, acknowledged := writeTestLog(t)
 	headerSize := len(appendRecord(nil, testHeader.encode()))
 	for _, tail := range []struct {
 		name string
 		fill func(lost []byte) []byte
 	}{
-		{"cut off", func([]byte) []byte { return nil }},
-		{"zeros in place of the rest", func(lost []byte) []byte { return make([]byte, len(lost)) }},
-		{"its last byte flipped", func(lost []byte) []byte { return nil }},
+		{"file truncated", func([]byte) []byte { return nil }},
+		{"rest replaced by zeros", func(lost []byte) []byte { return make([]byte, len(lost)) }},
+		{"last byte flipped", func(lost []byte) []byte { return nil }},
 	} {
 		count := 0
 		for cut := headerSize; cut <= len(text); cut++ {
@@ -90,36 +90,36 @@
 				want, count = now, now
 			}
 			damaged := append(bytes.Clone(text[:cut]), tail.fill(text[cut:])...)
-			_, whole := acknowledged[cut]
-			if tail.name == "its last byte flipped" {
-				if whole { // a damaged record that was acknowledged is not what a crash leaves: see TestLogDamagedAmid
+			_, atBoundary := acknowledged[cut]
+			if tail.name == "last byte flipped" {
+				if atBoundary { // a crash does not damage an acknowledged record; see TestLogDamagedBeforeValidRecords
 					continue
 				}
 				damaged[cut-1] ^= 0x40
 			}
-			checkRecovered(t, fmt.Sprintf("%s at %d", tail.name, cut), damaged, changes[:want], whole && len(damaged) == cut)
+			checkRecovered(t, fmt.Sprintf("%s at %d", tail.name, cut), damaged, changes[:want], atBoundary && len(damaged) == cut)
 		}
 		if count != len(changes) {
-			t.Fatalf("%s: %d changes at the end, want %d", tail.name, count, len(changes))
+			t.Fatalf("%s: %d changes in the full log, want %d", tail.name, count, len(changes))
 		}
 	}
 }
 
-// checkRecovered opens a log with a text, twice, with an append in between.
-func checkRecovered(t *testing.T, name string, text []byte, want []feed.Change, whole bool) {
+// checkRecovered opens a log with the given content, compares its changes, appends one and compares again after reopening.
+func checkRecovered(t *testing.T, name string, text []byte, want []feed.Change, intact bool) {
 	t.Helper()
 	directory := t.TempDir()
 	path := filepath.Join(directory, logName)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var said bytes.Buffer
-	log, got := openTestLog(t, directory, &said)
-	if !sameChanges(got, want) {
+	var logOutput bytes.Buffer
+	log, got := openTestLog(t, directory, &logOutput)
+	if !equalChanges(got, want) {
 		t.Fatalf("%s: %d changes %v, want %d", name, len(got), got, len(want))
 	}
-	if logged := strings.Contains(said.String(), "cut off"); logged == whole {
-		t.Fatalf("%s: the cut is logged: %t, want %t", name, logged, !whole)
+	if logged := strings.Contains(logOutput.String(), "truncated an incomplete last write"); logged == intact {
+		t.Fatalf("%s: truncation logged: %t, want %t", name, logged, !intact)
 	}
 	next := testChange(1, 1000)
 	if err := errors.Join(log.append([]feed.Change{next}), log.close()); err != nil {
@@ -127,14 +127,14 @@
 	}
 	log, got = openTestLog(t, directory, &bytes.Buffer{})
 	defer log.close()
-	if want := append(want[:len(want):len(want)], next); !sameChanges(got, want) {
-		t.Fatalf("%s: after an append %d changes, want %d", name, len(got), len(want))
+	if want := append(want[:len(want):len(want)], next); !equalChanges(got, want) {
+		t.Fatalf("%s: %d changes after an append, want %d", name, len(got), len(want))
 	}
 }
 
-// A log that is damaged in front of whole records has lost acknowledged changes: it is refused, whichever byte it is.
-func TestLogDamagedAmid(t *testing.T) {
-	text, _, acknowledged := writtenLog(t)
+// Damage to any byte in front of intact records loses acknowledged changes, so the log must be rejected and left untouched.
+func TestLogDamagedBeforeValidRecords(t *testing.T) {
+	text, _, acknowledged := writeTestLog(t)
 	last := 0 // size before the last append
 	for size := range acknowledged {
 		if size < len(text) {
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestLogOfAnotherCluster(t *testing.T) {
+func TestLogOfDifferentCluster(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openTestLog(t, directory, &bytes.Buffer{})
 	log.close()
@@ -186,7 +186,7 @@
 	log.close()
 }
 
-// A compacted log holds what it was given and goes on; one that a crash left amid it is the old one or the new one.
+// Compaction must keep the retained changes and allow further appends. A temporary file left by a crash must be ignored.
 func TestLogCompaction(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openTestLog(t, directory, &bytes.Buffer{})
@@ -202,78 +202,79 @@
 	if err := log.compact(retained); err != nil {
 		t.Fatal(err)
 	}
-	if log.size >= before || log.compactAt < compactionFactor*log.size {
-		t.Errorf("%d bytes after %d, to be compacted at %d", log.size, before, log.compactAt)
+	if log.size >= before || log.compactionThreshold < compactionFactor*log.size {
+		t.Errorf("size %d after compaction of %d bytes, threshold %d", log.size, before, log.compactionThreshold)
 	}
 	next := testChange(1, len(all)+1)
 	next.Value = []byte{}
 	if err := errors.Join(log.append([]feed.Change{next}), log.close()); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(directory, logName+".new"), []byte("a crash amid a compaction"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(directory, logName+".new"), []byte("incomplete compaction"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log, got := openTestLog(t, directory, &bytes.Buffer{})
 	defer log.close()
-	if !sameChanges(got, append(retained[:len(retained):len(retained)], next)) {
+	if !equalChanges(got, append(retained[:len(retained):len(retained)], next)) {
 		t.Errorf("%d changes, want %d", len(got), len(retained)+1)
 	}
 }
 
-// badDisk is a disk of which one call fails.
-type badDisk struct {
+// failingDisk is a file system on which one kind of operation fails.
+type failingDisk struct {
 	machine.FileSystem
-	fails string // write, sync, rename or none
-	calls int    // that failed
+	failOperation string // write, sync, rename; empty or none: no failure
+	failedCalls   int    // number of calls that failed
 }
 
-var errBadDisk = errors.New("bad disk")
+var errDiskFailure = errors.New("disk failure")
 
-func (d *badDisk) failing(call string) bool {
-	if d.fails != call {
+func (d *failingDisk) shouldFail(operation string) bool {
+	if d.failOperation != operation {
 		return false
 	}
-	d.calls++
+	d.failedCalls++
 	return true
 }
 
-func (d *badDisk) Rename(from, to string) error {
-	if d.failing("rename") {
-		return errBadDisk
+func (d *failingDisk) Rename(from, to string) error {
+	if d.shouldFail("rename") {
+		return errDiskFailure
 	}
 	return d.FileSystem.Rename(from, to)
 }
 
-func (d *badDisk) Append(path string) (machine.File, error) {
+func (d *failingDisk) Append(path string) (machine.File, error) {
 	file, err := d.FileSystem.Append(path)
-	return &badFile{file, d}, err
+	return &failingFile{file, d}, err
 }
 
-type badFile struct {
+type failingFile struct {
 	machine.File
-	disk *badDisk
+	disk *failingDisk
 }
 
-func (f *badFile) Write(p []byte) (int, error) {
-	if f.disk.failing("write") {
+func (f *failingFile) Write(p []byte) (int, error) {
+	if f.disk.shouldFail("write") {
 		n, _ := f.File.Write(p[:len(p)/2])
-		return n, errBadDisk
+		return n, errDiskFailure
 	}
 	return f.File.Write(p)
 }
 
-func (f *badFile) Sync() error {
-	if f.disk.failing("sync") {
-		return errBadDisk
+func (f *failingFile) Sync() error {
+	if f.disk.shouldFail("sync") {
+		return errDiskFailure
 	}
 	return f.File.Sync()
 }
 
-// After a disk error the log takes nothing more, also once the disk is well. Opened again it has all that was acknowledged.
+// After a disk error the log must reject writes, even once the disk works again. Reopened, it must hold every acknowledged
+// change.
 func TestLogDiskError(t *testing.T) {
-	for _, call := range []string{"write", "sync", "rename"} {
+	for _, operation := range []string{"write", "sync", "rename"} {
 		directory := t.TempDir()
-		disk := &badDisk{FileSystem: machine.LocalFileSystem()}
+		disk := &failingDisk{FileSystem: machine.LocalFileSystem()}
 		log, _, err := openChangeLog(disk, directory, testHeader, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -282,23 +283,23 @@
 		if err := log.append(acknowledged); err != nil {
 			t.Fatal(err)
 		}
-		disk.fails = call
+		disk.failOperation = operation
 		write := func() error { return log.append([]feed.Change{testChange(1, 3)}) }
-		if call == "rename" {
+		if operation == "rename" {
 			write = func() error { return log.compact(acknowledged[1:]) }
 		}
 		err = write()
-		if failed := (*DiskError)(nil); !errors.As(err, &failed) || !errors.Is(err, errBadDisk) {
-			t.Errorf("%s: %v", call, err)
+		if diskErr := (*DiskError)(nil); !errors.As(err, &diskErr) || !errors.Is(err, errDiskFailure) {
+			t.Errorf("%s: %v", operation, err)
 		}
-		disk.fails = "none"
-		if again := write(); again != err || disk.calls != 1 {
-			t.Errorf("%s, tried again: %v, %d calls that failed", call, again, disk.calls)
+		disk.failOperation = "none"
+		if again := write(); again != err || disk.failedCalls != 1 {
+			t.Errorf("%s, retried: %v, %d failed calls", operation, again, disk.failedCalls)
 		}
 		log.close()
 		log, got := openTestLog(t, directory, &bytes.Buffer{})
-		if len(got) < 2 || !sameChanges(got[:2], acknowledged) {
-			t.Errorf("%s: %v", call, got)
+		if len(got) < 2 || !equalChanges(got[:2], acknowledged) {
+			t.Errorf("%s: %v", operation, got)
 		}
 		log.close()
 	}
--- a/internal/feed/feednet/connection.go
+++ b/internal/feed/feednet/connection.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	helloTimeout  = 2 * time.Second  // from a connection's begin until its peer has sent the first message
-	writeTimeout  = 5 * time.Second  // for one write to be taken by the kernel
-	finishTimeout = time.Second      // for what is queued to be written, and the peer to close the connection too
-	unackedMax    = 10 * time.Second // until the kernel gives up on bytes that are not acknowledged
-
-	maxQueuedBytes  = 1 << 20  // that wait to be written to one peer; beyond it the peer is disconnected
-	sendBufferSize  = 64 << 10 // of the kernel, for each connection
-	childFrameLimit = 4 << 10  // children send short messages alone
+	helloTimeout   = 2 * time.Second  // for the peer's first message
+	writeTimeout   = 5 * time.Second  // for one write to the socket
+	closeTimeout   = time.Second      // for queued frames to be written and the peer to close its end
+	tcpUserTimeout = 10 * time.Second // for transmitted bytes to be acknowledged by the peer
+
+	maxQueuedBytes    = 1 << 20  // per connection, unless a single frame is larger; a peer with more is disconnected
+	sendBufferSize    = 64 << 10 // of the kernel, in bytes per connection
+	maxChildFrameSize = 4 << 10  // in bytes; children send short messages only
 )
 
-// errNoHello is why a child is disconnected that begins with another message.
+// errNoHello reports a child whose first message is not a hello.
 var errNoHello = errors.New("the first message is not a hello")
 
-// connection is one connection to a peer. Its reader calls the handler; all other methods are safe for concurrent use.
+// connection is a connection to one peer. Its read method runs on one goroutine; send, closeGracefully and abort are safe
+// for concurrent use.
 type connection struct {
-	peer    feed.PeerID
-	socket  net.Conn
-	dialled bool // it is to a parent, not from a child
-
-	mu        sync.Mutex
-	queue     [][]byte // frames to write
-	queued    int      // bytes of them
-	writing   bool     // a goroutine is writing
-	finishing bool     // nothing more is queued; the connection ends once the queue is written
+	peer     feed.PeerID
+	socket   net.Conn
+	toParent bool // dialled by this node; otherwise accepted from a child
+
+	mu            sync.Mutex
+	queue         [][]byte // frames to write
+	queuedBytes   int      // size of the queued and currently written frames
+	writerRunning bool     // the writer goroutine runs
+	closing       bool     // no more frames are queued; the write side is closed once the queue is empty
 }
 
-// connectionHandler is told what happens on a connection, on its reader's goroutine.
+// connectionHandler receives the messages and the end of a connection, on its reader goroutine.
 type connectionHandler interface {
 	received(peer feed.PeerID, message feed.Message)
 	lost(peer feed.PeerID, err error)
 }
 
-// newConnection sets up a connected socket.
-func newConnection(peer feed.PeerID, socket net.Conn, dialled bool) *connection {
+// newConnection wraps a connected socket and, for TCP, sets its options.
+func newConnection(peer feed.PeerID, socket net.Conn, toParent bool) *connection {
 	if tcp, ok := socket.(*net.TCPConn); ok {
 		setSocketOptions(tcp)
 	}
-	return &connection{peer: peer, socket: socket, dialled: dialled}
+	return &connection{peer: peer, socket: socket, toParent: toParent}
 }
 
-// setSocketOptions has small messages sent at once, and an unreachable or stopped peer noticed. Options that the system
-// does not take are left as they are: the connection works without them.
+// setSocketOptions disables Nagle's algorithm, bounds the send buffer and sets the timeout for unacknowledged data. It
+// ignores options that the system rejects: the connection works without them.
 func setSocketOptions(socket *net.TCPConn) {
 	_ = socket.SetNoDelay(true)
 	_ = socket.SetWriteBuffer(sendBufferSize)
@@ -62,20 +63,22 @@
 		return
 	}
 	_ = raw.Control(func(descriptor uintptr) {
-		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMax.Milliseconds()))
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
 
-// read passes messages on until the connection ends. It closes the socket.
+// read passes messages to the handler until the connection fails or closes, then closes the socket and reports the error
+// to the handler.
 func (c *connection) read(handler connectionHandler) {
 	err := c.readMessages(handler)
 	c.socket.Close()
 	handler.lost(c.peer, err)
 }
 
+// readMessages passes messages to the handler until reading fails. A child's first message must be a hello.
 func (c *connection) readMessages(handler connectionHandler) error {
-	limit := childFrameLimit
-	if c.dialled {
+	limit := maxChildFrameSize
+	if c.toParent {
 		limit = feed.DefaultFrameLimit
 	}
 	decoder := feed.NewDecoder(c.socket, limit)
@@ -86,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	if _, isHello := message.(feed.Hello); !isHello && !c.dialled {
+	if _, isHello := message.(feed.Hello); !isHello && !c.toParent {
 		return errNoHello
 	}
 	if err := c.socket.SetReadDeadline(time.Time{}); err != nil {
@@ -100,51 +103,52 @@
 	}
 }
 
-// send queues a frame. It returns false where the peer is too far behind; the connection is then closed.
+// send queues a frame. If frames are queued already and the new one would exceed maxQueuedBytes, it closes the connection
+// and returns false. While the connection closes gracefully, the frame is dropped and send returns true.
 func (c *connection) send(frame []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.finishing {
+	if c.closing {
 		return true
 	}
-	if c.queued > 0 && c.queued+len(frame) > maxQueuedBytes {
+	if c.queuedBytes > 0 && c.queuedBytes+len(frame) > maxQueuedBytes {
 		c.abort()
 		return false
 	}
 	c.queue = append(c.queue, frame)
-	c.queued += len(frame)
+	c.queuedBytes += len(frame)
 	c.startWriter()
 	return true
 }
 
-// finish ends the connection in good order once what is queued has been written. It returns at once; within finishTimeout
-// the reader has ended.
-func (c *connection) finish() {
+// closeGracefully writes the queued frames, then closes the write side. It does not block. After closeTimeout the connection
+// is closed in any case.
+func (c *connection) closeGracefully() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.finishing {
+	if c.closing {
 		return
 	}
-	c.finishing = true
-	time.AfterFunc(finishTimeout, c.abort)
+	c.closing = true
+	time.AfterFunc(closeTimeout, c.abort)
 	c.startWriter()
 }
 
-// abort closes the connection at once. Its reader reports it as lost.
+// abort closes the connection at once. Its reader reports the connection as lost.
 func (c *connection) abort() {
 	c.socket.Close()
 }
 
-// startWriter starts the writing goroutine unless it runs. c.mu is held.
+// startWriter starts the writer goroutine unless it runs. The caller holds c.mu.
 func (c *connection) startWriter() {
-	if c.writing {
+	if c.writerRunning {
 		return
 	}
-	c.writing = true
+	c.writerRunning = true
 	go c.write()
 }
 
-// write writes what is queued, and ends when nothing is left.
+// write writes queued frames until the queue is empty. It aborts the connection if a write fails.
 func (c *connection) write() {
 	for {
 		frames, bytes := c.takeQueue()
@@ -155,27 +159,29 @@
 			c.abort()
 		}
 		c.mu.Lock()
-		c.queued -= bytes
+		c.queuedBytes -= bytes
 		c.mu.Unlock()
 	}
 }
 
-// takeQueue returns what is queued. Where that is nothing it returns nil, and the writer has to end.
+// takeQueue removes and returns the queued frames and their size in bytes. If there are none, it returns nil and the
+// writer must return; a connection that closes gracefully then has its write side closed.
 func (c *connection) takeQueue() (frames net.Buffers, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) > 0 {
-		frames, bytes = c.queue, c.queued
+		frames, bytes = c.queue, c.queuedBytes
 		c.queue = nil
 		return frames, bytes
 	}
-	c.writing = false
-	if c.finishing {
+	c.writerRunning = false
+	if c.closing {
 		c.closeWrite()
 	}
 	return nil, 0
 }
 
+// writeFrames writes frames to the socket. It fails after writeTimeout.
 func (c *connection) writeFrames(frames net.Buffers) error {
 	if err := c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -184,11 +190,12 @@
 	return err
 }
 
-// closeWrite tells the peer that nothing more comes. The socket stays open until the peer closes it too: closed with unread
-// bytes, it would drop what is still under way.
+// closeWrite closes the write side of the socket. The read side stays open until the peer closes its end, because closing
+// a socket with unread bytes resets the connection and drops data in flight. It aborts a connection that cannot be
+// half-closed.
 func (c *connection) closeWrite() {
-	half, ok := c.socket.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.socket.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		c.abort()
 	}
 }
--- a/internal/feed/feednet/doc.go
+++ b/internal/feed/feednet/doc.go
@@ -1,12 +1,11 @@
 // Package feednet runs a feed.Node on TCP sockets, and keeps a publisher's changes on disk.
 //
-// One goroutine, the loop, owns the node. Each connection has a goroutine that reads, and one that writes for as long as
-// there is something to write; both speak to the loop alone. A peer that does not read what it is sent is disconnected:
-// nothing waits for it.
+// A single goroutine, the event loop, owns the node. Each connection has one reader goroutine, which passes its messages
+// to the loop, and a writer goroutine while frames are queued. A peer that reads too slowly is disconnected, so it delays
+// nobody else.
 //
-// A publisher appends its changes to a log and brings them to the disk before it sends or acknowledges them. A disk error
-// ends the server, since what the disk holds is unknown from there on: started again, it goes on from its log.
+// A publisher appends its changes to a log and syncs it before it sends or acknowledges them. A disk error stops the
+// server, because the state of the log on disk is then unknown; a restarted publisher recovers from the log.
 //
-// The link is plain TCP: it has no encryption and checks no more than the cluster's name. It has to be inside a trusted
-// network.
+// Connections are plain TCP without encryption. The only check is on the cluster's name, so run this in a trusted network.
 package feednet
--- a/internal/feed/feednet/helpers_test.go
+++ b/internal/feed/feednet/helpers_test.go
@@ -10,26 +10,26 @@
 	"larchthread/internal/feed"
 )
 
-// waitLimit is for conditions that come true in a fraction of it, also on a busy machine.
-const waitLimit = 60 * time.Second
+// waitTimeout bounds the wait for a condition, with a wide margin for busy machines.
+const waitTimeout = 60 * time.Second
 
 const (
 	testSettings feed.Kind = iota
 	testPurges
 )
 
-// waitFor waits until a condition holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits until holds returns true, and fails the test after waitTimeout.
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", condition)
 }
 
-// testConfig is a node's configuration.
+// testConfig returns a node's configuration.
 func testConfig(role feed.Role, id string, parents ...string) feed.Config {
 	config := feed.Config{
 		Cluster: "test", ID: id, Role: role, Parents: parents, Seed: uint64(len(id)) + 1,
@@ -45,53 +45,53 @@
 	return config
 }
 
-// follower notes what a server's events bring.
-type follower struct {
+// testSubscriber records the events of a subscriber's server.
+type testSubscriber struct {
 	mu      sync.Mutex
-	changes map[string]int // how often a change came, by its key and value
+	changes map[string]int // number of deliveries, by key and value
 	fresh   bool
 }
 
-func newFollower() *follower {
-	return &follower{changes: make(map[string]int)}
+func newTestSubscriber() *testSubscriber {
+	return &testSubscriber{changes: make(map[string]int)}
 }
 
-func (f *follower) onEvent(event feed.Event) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *testSubscriber) onEvent(event feed.Event) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch event := event.(type) {
 	case feed.Applied:
-		f.changes[describe(event.Change.Key, event.Change.Value)]++
+		s.changes[changeText(event.Change.Key, event.Change.Value)]++
 	case feed.AppliedSnapshot:
 		for _, change := range event.Changes {
-			f.changes[describe(change.Key, change.Value)]++
+			s.changes[changeText(change.Key, change.Value)]++
 		}
 	case feed.Fresh:
-		f.fresh = true
+		s.fresh = true
 	case feed.Stale:
-		f.fresh = false
+		s.fresh = false
 	}
 }
 
-func describe(key, value []byte) string {
+func changeText(key, value []byte) string {
 	return fmt.Sprintf("%s=%s", key, value)
 }
 
-// times is how often a change came.
-func (f *follower) times(key, value string) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.changes[describe([]byte(key), []byte(value))]
+// deliveries returns how often a change was delivered.
+func (s *testSubscriber) deliveries(key, value string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.changes[changeText([]byte(key), []byte(value))]
 }
 
-// isFresh tells whether the last word was that knowledge is fresh.
-func (f *follower) isFresh() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.fresh
+// isFresh reports whether the latest freshness event was feed.Fresh.
+func (s *testSubscriber) isFresh() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.fresh
 }
 
-// startServer starts a server and closes it at the test's end.
+// startServer starts a server that is closed at the end of the test.
 func startServer(t *testing.T, options Options) *Server {
 	t.Helper()
 	if options.Feed.Role != feed.Subscriber && options.Listen == "" {
@@ -110,18 +110,18 @@
 	return startServer(t, Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir()})
 }
 
-// startFollower starts a subscriber, and waits until it is up to date.
-func startFollower(t *testing.T, id string, parents ...string) *follower {
+// startSubscriber starts a subscriber and waits until it is fresh.
+func startSubscriber(t *testing.T, id string, parents ...string) *testSubscriber {
 	t.Helper()
-	f := newFollower()
-	startServer(t, Options{Feed: testConfig(feed.Subscriber, id, parents...), OnEvent: f.onEvent})
-	waitFor(t, id+" is fresh", f.isFresh)
-	return f
+	s := newTestSubscriber()
+	startServer(t, Options{Feed: testConfig(feed.Subscriber, id, parents...), OnEvent: s.onEvent})
+	waitFor(t, id+" to be fresh", s.isFresh)
+	return s
 }
 
 func publish(t *testing.T, server *Server, kind feed.Kind, key, value string) feed.Position {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	position, err := server.Publish(ctx, kind, []byte(key), []byte(value))
 	if err != nil {
--- a/internal/feed/feednet/input.go
+++ b/internal/feed/feednet/input.go
@@ -6,17 +6,17 @@
 	"larchthread/internal/feed"
 )
 
-// input is something that the loop has to handle.
+// input is an event or request that the event loop handles.
 type input interface {
 	handle(l *loop)
 }
 
-// discarder is an input that holds a connection, to be closed where the loop ends without handling it.
+// discarder is an input that owns a connection. The loop calls discard if it stops without handling the input.
 type discarder interface {
 	discard()
 }
 
-// acceptedInput is a new connection from a child.
+// acceptedInput carries a connection accepted from a child.
 type acceptedInput struct {
 	socket net.Conn
 }
@@ -29,17 +29,17 @@
 	in.socket.Close()
 }
 
-// dialledInput is a new connection to a parent. Its reader runs already.
+// dialledInput carries a new connection to a parent.
 type dialledInput struct {
 	conn *connection
 }
 
 func (in dialledInput) handle(l *loop) {
-	if in.conn.peer != l.dialling { // another attempt has taken its place
+	if in.conn.peer != l.dialPeer { // superseded by a later attempt
 		in.conn.abort()
 		return
 	}
-	l.dialling = 0
+	l.dialPeer = 0
 	l.connections[in.conn.peer] = in.conn
 	l.node.PeerOpened(in.conn.peer, true)
 }
@@ -48,7 +48,7 @@
 	in.conn.abort()
 }
 
-// dialFailedInput is an attempt to connect to a parent that has failed.
+// dialFailedInput reports a failed attempt to connect to a parent.
 type dialFailedInput struct {
 	peer    feed.PeerID
 	address string
@@ -56,15 +56,15 @@
 }
 
 func (in dialFailedInput) handle(l *loop) {
-	if in.peer != l.dialling {
+	if in.peer != l.dialPeer {
 		return
 	}
-	l.dialling = 0
-	l.server.log.Debug("parent not reached", "parent", in.address, "error", in.err)
+	l.dialPeer = 0
+	l.server.log.Debug("cannot connect to parent", "parent", in.address, "error", in.err)
 	l.node.DialFailed()
 }
 
-// messageInput is a message from a peer.
+// messageInput carries a message from a peer.
 type messageInput struct {
 	peer    feed.PeerID
 	message feed.Message
@@ -72,14 +72,14 @@
 
 func (in messageInput) handle(l *loop) {
 	conn := l.connections[in.peer]
-	if conn == nil { // it is being finished
+	if conn == nil { // closed by the node or aborted
 		return
 	}
-	l.saidHello(conn)
+	l.removePendingHello(conn)
 	l.node.Receive(in.peer, in.message)
 }
 
-// lostInput is the end of a connection.
+// lostInput reports the end of a connection.
 type lostInput struct {
 	peer feed.PeerID
 	err  error
@@ -89,14 +89,14 @@
 	l.lost(in.peer, in.err)
 }
 
-// publishInput is a call of Publish.
+// publishInput is a request from Publish.
 type publishInput struct {
 	kind       feed.Kind
 	key, value []byte
-	reply      chan publishReply // holds one
+	reply      chan publishReply // with a buffer of one, so the loop never blocks
 }
 
-// publishReply is what a call of Publish returns.
+// publishReply is the result of a publishInput.
 type publishReply struct {
 	position feed.Position
 	err      error
@@ -108,21 +108,21 @@
 		in.reply <- publishReply{err: err}
 		return
 	}
-	l.replies = append(l.replies, pendingReply{in.reply, position})
+	l.pendingReplies = append(l.pendingReplies, pendingReply{in.reply, position})
 }
 
-// statusInput is a call of Status.
+// statusInput is a request from Status.
 type statusInput struct {
-	reply chan feed.Status // holds one
+	reply chan feed.Status // with a buffer of one, so the loop never blocks
 }
 
 func (in statusInput) handle(l *loop) {
 	in.reply <- l.node.Status()
 }
 
-// closeInput is a call of Close.
+// closeInput is a request from Close.
 type closeInput struct{}
 
 func (closeInput) handle(l *loop) {
-	l.leave()
+	l.shutDown()
 }
--- a/internal/feed/feednet/logformat.go
+++ b/internal/feed/feednet/logformat.go
@@ -11,14 +11,14 @@
 	"larchthread/internal/feed"
 )
 
-// A log is a sequence of records. The first is its header, each other one holds the changes of one write:
+// A log is a sequence of records. The first holds the log's header, each following one the changes of one write:
 //
 //	marker   4 bytes
-//	length   4 bytes, of the payload, little endian
-//	checksum 4 bytes, CRC32C of length and payload, little endian
+//	length   4 bytes, little endian, of the payload in bytes
+//	checksum 4 bytes, little endian, CRC32C of length and payload
 //	payload
 //
-// The marker serves to find whole records behind one that can't be read.
+// The marker serves to find intact records after a damaged one.
 const (
 	logVersion       = 1
 	recordHeaderSize = 12
@@ -29,18 +29,18 @@
 	recordMarker = []byte{0xfe, 'L', 'T', 'F'}
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
 
-	errRecordDamaged  = errors.New("a record is cut off or has a wrong checksum")
-	errPayloadInvalid = errors.New("a record has a right checksum but can't be read")
+	errRecordDamaged  = errors.New("record is truncated or its checksum does not match")
+	errPayloadInvalid = errors.New("record's checksum matches but its payload is malformed")
 )
 
-// logHeader says what a log holds.
+// logHeader identifies a log's format, cluster and kinds of changes.
 type logHeader struct {
 	Version uint64
 	Cluster string
 	Kinds   []string
 }
 
-// newLogHeader returns the header of a publisher's log.
+// newLogHeader returns the header of the log for a publisher's configuration.
 func newLogHeader(config feed.Config) logHeader {
 	header := logHeader{Version: logVersion, Cluster: config.Cluster}
 	for _, kind := range config.Kinds {
@@ -49,11 +49,12 @@
 	return header
 }
 
-// String names the header in errors.
+// String describes the header for error messages.
 func (h logHeader) String() string {
 	return fmt.Sprintf("cluster %q with kinds %s (format %d)", h.Cluster, strings.Join(h.Kinds, ", "), h.Version)
 }
 
+// encode returns the header as a record's payload.
 func (h logHeader) encode() []byte {
 	payload := binary.AppendUvarint(nil, h.Version)
 	payload = appendBytes(payload, []byte(h.Cluster))
@@ -64,8 +65,9 @@
 	return payload
 }
 
+// decodeLogHeader decodes a payload made by encode. It returns errPayloadInvalid for malformed or trailing bytes.
 func decodeLogHeader(payload []byte) (logHeader, error) {
-	reader := payloadReader{rest: payload}
+	reader := payloadDecoder{rest: payload}
 	header := logHeader{Version: reader.uvarint(), Cluster: string(reader.bytes())}
 	for count := reader.uvarint(); count > 0 && !reader.failed; count-- {
 		header.Kinds = append(header.Kinds, string(reader.bytes()))
@@ -76,6 +78,7 @@
 	return header, nil
 }
 
+// encodeChanges returns changes as a record's payload.
 func encodeChanges(changes []feed.Change) []byte {
 	var payload []byte
 	for _, change := range changes {
@@ -88,9 +91,10 @@
 	return payload
 }
 
+// decodeChanges decodes a payload made by encodeChanges. It returns errPayloadInvalid if the payload is malformed.
 func decodeChanges(payload []byte) ([]feed.Change, error) {
 	var changes []feed.Change
-	reader := payloadReader{rest: payload}
+	reader := payloadDecoder{rest: payload}
 	for len(reader.rest) > 0 {
 		change := feed.Change{Kind: feed.Kind(reader.byte())}
 		change.Position.Epoch = reader.uvarint()
@@ -105,22 +109,24 @@
 	return changes, nil
 }
 
+// appendBytes appends a value with its length in front, as an unsigned varint.
 func appendBytes(to, value []byte) []byte {
 	to = binary.AppendUvarint(to, uint64(len(value)))
 	return append(to, value...)
 }
 
-// payloadReader takes values off a payload. Once one is not there it has failed, and gives zero values.
-type payloadReader struct {
+// payloadDecoder reads values from a payload. After the first malformed or missing value, failed is set and all reads return
+// zero values.
+type payloadDecoder struct {
 	rest   []byte
 	failed bool
 }
 
-func (r *payloadReader) fail() {
+func (r *payloadDecoder) fail() {
 	r.rest, r.failed = nil, true
 }
 
-func (r *payloadReader) byte() byte {
+func (r *payloadDecoder) byte() byte {
 	if len(r.rest) == 0 {
 		r.fail()
 		return 0
@@ -130,7 +136,7 @@
 	return value
 }
 
-func (r *payloadReader) uvarint() uint64 {
+func (r *payloadDecoder) uvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if size <= 0 {
 		r.fail()
@@ -140,7 +146,7 @@
 	return value
 }
 
-func (r *payloadReader) bytes() []byte {
+func (r *payloadDecoder) bytes() []byte {
 	length := r.uvarint()
 	if length > uint64(len(r.rest)) {
 		r.fail()
@@ -151,7 +157,7 @@
 	return value
 }
 
-// appendRecord appends a record with a payload.
+// appendRecord appends a record with the given payload.
 func appendRecord(to, payload []byte) []byte {
 	length := binary.LittleEndian.AppendUint32(nil, uint32(len(payload)))
 	to = append(to, recordMarker...)
@@ -160,11 +166,13 @@
 	return append(to, payload...)
 }
 
+// recordChecksum returns the CRC32C of a record's encoded length and payload.
 func recordChecksum(length, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, payload)
 }
 
-// readRecord returns the payload of the record at the head of data, and the record's size.
+// readRecord returns the payload of the record at the start of data and the size, in bytes, of the whole record. It returns
+// errRecordDamaged if the record is truncated, too large or fails its checksum.
 func readRecord(data []byte) (payload []byte, size int, err error) {
 	if len(data) < recordHeaderSize || !bytes.HasPrefix(data, recordMarker) {
 		return nil, 0, errRecordDamaged
@@ -182,16 +190,16 @@
 	return payload, size, nil
 }
 
-// holdsRecord tells whether a whole record begins anywhere in data.
-func holdsRecord(data []byte) bool {
+// containsRecord reports whether an intact record begins anywhere in data.
+func containsRecord(data []byte) bool {
 	for {
-		at := bytes.Index(data, recordMarker)
-		if at < 0 {
+		offset := bytes.Index(data, recordMarker)
+		if offset < 0 {
 			return false
 		}
-		if _, _, err := readRecord(data[at:]); err == nil {
+		if _, _, err := readRecord(data[offset:]); err == nil {
 			return true
 		}
-		data = data[at+1:]
+		data = data[offset+1:]
 	}
 }
--- a/internal/feed/feednet/server.go
+++ b/internal/feed/feednet/server.go
@@ -13,48 +13,51 @@
 	"larchthread/internal/machine"
 )
 
-// Options configure a server.
+// Options configures a Server.
 type Options struct {
 	// Feed is the node's configuration.
 	Feed feed.Config
-	// Listen is the address that children connect to. Publishers and relays alone have one.
+	// Listen is the TCP address, host:port, that children connect to. Publishers and relays need one; a subscriber has none.
 	Listen string
-	// Directory holds the publisher's log. It has to exist, and to outlive the process.
+	// Directory is an existing directory on durable storage for the publisher's log. Only a publisher has one.
 	Directory string
-	// OnEvent is called for each event, in their order and on the server's loop: it must not block, nor call the server.
+	// OnEvent, if not nil, is called for each event in order. It runs on the event loop, so it must not block or call the
+	// server.
 	OnEvent func(feed.Event)
-	// Dial connects to a parent; nil stands for TCP.
+	// Dial connects to the address of a parent; nil means a TCP connection.
 	Dial func(context.Context, string) (net.Conn, error)
-	// Log, if not nil, is told what an operator may want to know.
+	// Log, if not nil, receives messages for the operator.
 	Log *slog.Logger
 
-	files machine.FileSystem // of the log; nil stands for the disk
+	files machine.FileSystem // holds the publisher's log; nil means the local file system
 }
 
-// Server runs a node.
+// Server runs a feed node on TCP connections. Its methods are safe for concurrent use.
 type Server struct {
-	options  Options
-	log      *slog.Logger
-	started  time.Time
-	listener net.Listener // nil without Options.Listen
-	inputs   chan input
-	readers  sync.WaitGroup // goroutines that connect to a parent or read from a peer
-	done     chan struct{}  // closed when the loop has ended
-	failure  error          // why it ended; read once done is closed
-}
-
-// Start starts a server. It returns once a publisher's log is read and the address is taken.
+	options     Options
+	log         *slog.Logger
+	startTime   time.Time
+	listener    net.Listener // nil without Options.Listen
+	inputs      chan input
+	readerGroup sync.WaitGroup // goroutines that dial a parent or read from a peer
+	done        chan struct{}  // closed when the loop has stopped
+	exitErr     error          // why the loop stopped; valid once done is closed
+}
+
+// Start starts a server. It returns after a publisher's log has been read and the listening socket is open. Invalid options
+// are an *OptionError or a *feed.ConfigError; an unusable log is a *LockedError, *DiskError, *CorruptLogError or
+// *ForeignLogError.
 func Start(options Options) (*Server, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
 	}
 	options = options.withDefaults()
 	server := &Server{
-		options: options,
-		log:     options.Log,
-		started: time.Now(),
-		inputs:  make(chan input, inputQueueLength),
-		done:    make(chan struct{}),
+		options:   options,
+		log:       options.Log,
+		startTime: time.Now(),
+		inputs:    make(chan input, inputQueueSize),
+		done:      make(chan struct{}),
 	}
 	loop, err := newLoop(server)
 	if err != nil {
@@ -71,22 +74,23 @@
 	return server, nil
 }
 
-// validate returns an *OptionError or a *feed.ConfigError for the first field that can't be used.
+// validate returns an *OptionError or a *feed.ConfigError for the first invalid field.
 func (o Options) validate() error {
 	isPublisher, isSubscriber := o.Feed.Role == feed.Publisher, o.Feed.Role == feed.Subscriber
 	switch {
 	case isPublisher && o.Directory == "":
-		return &OptionError{"Directory", "a publisher needs one"}
+		return &OptionError{"Directory", "a publisher needs a directory"}
 	case !isPublisher && o.Directory != "":
-		return &OptionError{"Directory", "only a publisher has one"}
+		return &OptionError{"Directory", "only a publisher has a directory"}
 	case !isSubscriber && o.Listen == "":
-		return &OptionError{"Listen", "a publisher or relay needs an address"}
+		return &OptionError{"Listen", "a publisher or relay needs a listening address"}
 	case isSubscriber && o.Listen != "":
-		return &OptionError{"Listen", "a subscriber serves nobody"}
+		return &OptionError{"Listen", "a subscriber does not listen"}
 	}
 	return o.Feed.Validate()
 }
 
+// withDefaults returns the options with the unset optional fields filled in.
 func (o Options) withDefaults() Options {
 	if o.OnEvent == nil {
 		o.OnEvent = func(feed.Event) {}
@@ -109,8 +113,8 @@
 }
 
 // Publish publishes a change and returns its position once it is on disk. After an error of ctx or a *DiskError it is
-// unknown whether the change was published: it may reach the subscribers, now or after a restart. Other errors tell that
-// it was not.
+// unknown whether the change was published: it may still reach subscribers, now or after a restart. After any other error,
+// such as ErrClosed or a rejection by the node, it was not published.
 func (s *Server) Publish(ctx context.Context, kind feed.Kind, key, value []byte) (feed.Position, error) {
 	request := &publishInput{kind: kind, key: bytes.Clone(key), value: bytes.Clone(value), reply: make(chan publishReply, 1)}
 	select {
@@ -128,14 +132,14 @@
 	case <-s.done:
 	}
 	select {
-	case reply := <-request.reply: // the loop's last one
+	case reply := <-request.reply: // sent just before the loop stopped
 		return reply.position, reply.err
 	default:
 		return feed.Position{}, s.closedError()
 	}
 }
 
-// Address is the address that children connect to, with its port; empty where there is none.
+// Address returns the address, with the actual port, that children connect to. It is empty for a subscriber.
 func (s *Server) Address() string {
 	if s.listener == nil {
 		return ""
@@ -143,10 +147,10 @@
 	return s.listener.Addr().String()
 }
 
-// Status is the node's state. That of a server that was closed is the zero Status.
+// Status returns the node's state, or the zero Status if the server has stopped.
 func (s *Server) Status() feed.Status {
 	request := statusInput{reply: make(chan feed.Status, 1)}
-	if !s.post(request) {
+	if !s.enqueue(request) {
 		return feed.Status{}
 	}
 	select {
@@ -157,30 +161,31 @@
 	}
 }
 
-// Done is closed when the server has ended, by Close or for an error.
+// Done returns a channel that is closed when the server has stopped, by Close or because of an error.
 func (s *Server) Done() <-chan struct{} {
 	return s.done
 }
 
-// Close says goodbye to all peers, closes the connections and the log, and returns once that is done. It returns the error
-// for which the server had ended before, if it had.
+// Close takes leave of all peers, closes the log and waits until all connections have ended. It returns the error that
+// stopped the server, if any, or the error of closing the log. It may be called repeatedly.
 func (s *Server) Close() error {
-	s.post(closeInput{})
+	s.enqueue(closeInput{})
 	<-s.done
-	s.readers.Wait()
-	return s.failure
+	s.readerGroup.Wait()
+	return s.exitErr
 }
 
-// closedError is the error of calls after the end.
+// closedError returns the error that stopped the server, or ErrClosed. It may be called once done is closed.
 func (s *Server) closedError() error {
-	if s.failure != nil {
-		return s.failure
+	if s.exitErr != nil {
+		return s.exitErr
 	}
 	return ErrClosed
 }
 
-// post hands the loop an input. It returns false where the loop has ended; what it holds is then the caller's to close.
-func (s *Server) post(in input) bool {
+// enqueue passes an input to the loop. It returns false if the loop has stopped; the caller must then close any connection in
+// the input.
+func (s *Server) enqueue(in input) bool {
 	select {
 	case s.inputs <- in:
 	case <-s.done:
@@ -193,17 +198,17 @@
 	}
 }
 
-// received implements connectionHandler.
+// received passes a message to the loop. It implements connectionHandler.
 func (s *Server) received(peer feed.PeerID, message feed.Message) {
-	s.post(messageInput{peer, message})
+	s.enqueue(messageInput{peer, message})
 }
 
-// lost implements connectionHandler.
+// lost passes the end of a connection to the loop. It implements connectionHandler.
 func (s *Server) lost(peer feed.PeerID, err error) {
-	s.post(lostInput{peer, err})
+	s.enqueue(lostInput{peer, err})
 }
 
-// accept hands connections to the loop until the listener is closed.
+// accept passes accepted connections to the loop until the listener is closed. After any other error it waits and retries.
 func (s *Server) accept() {
 	for {
 		socket, err := s.listener.Accept()
@@ -212,25 +217,26 @@
 			return
 		case err != nil:
 			s.log.Error("accept", "error", err)
-			time.Sleep(acceptPause)
-		case !s.post(acceptedInput{socket}):
+			time.Sleep(acceptRetryDelay)
+		case !s.enqueue(acceptedInput{socket}):
 			socket.Close()
 			return
 		}
 	}
 }
 
-// dial connects to a parent and then reads from it, on a goroutine of its own.
+// dial connects to a parent within the node's dial timeout, and reads from the connection until it ends. It reports the
+// outcome to the loop.
 func (s *Server) dial(ctx context.Context, peer feed.PeerID, address string) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Feed.DialTimeout)
 	socket, err := s.options.Dial(ctx, address)
 	cancel()
 	if err != nil {
-		s.post(dialFailedInput{peer, address, err})
+		s.enqueue(dialFailedInput{peer, address, err})
 		return
 	}
 	conn := newConnection(peer, socket, true)
-	if !s.post(dialledInput{conn}) {
+	if !s.enqueue(dialledInput{conn}) {
 		socket.Close()
 		return
 	}
--- a/internal/feed/feednet/server_test.go
+++ b/internal/feed/feednet/server_test.go
@@ -14,11 +14,11 @@
 	"larchthread/internal/feed"
 )
 
-// Changes go from the publisher over a relay to a subscriber, each once. One that comes later gets the settings.
+// Changes must reach a subscriber over a relay exactly once. A subscriber that joins later must receive the settings.
 func TestPublishToSubscribers(t *testing.T) {
 	publisher := startPublisher(t)
 	relay := startServer(t, Options{Feed: testConfig(feed.Relay, "relay", publisher.Address())})
-	early := startFollower(t, "early", relay.Address())
+	early := startSubscriber(t, "early", relay.Address())
 	const changes = 20
 	for n := range changes {
 		if got, want := publish(t, publisher, testSettings, fmt.Sprint("key", n), "v"), uint64(n+1); got.Sequence != want {
@@ -26,13 +26,13 @@
 		}
 		publish(t, publisher, testPurges, fmt.Sprintf("object%02d", n), "")
 	}
-	late := startFollower(t, "late", relay.Address())
+	late := startSubscriber(t, "late", relay.Address())
 	for n := range changes {
 		key, object := fmt.Sprint("key", n), fmt.Sprintf("object%02d", n)
-		waitFor(t, "a change", func() bool { return early.times(key, "v") > 0 && early.times(object, "") > 0 })
-		waitFor(t, "a setting at the late one", func() bool { return late.times(key, "v") > 0 })
-		if early.times(key, "v") != 1 || early.times(object, "") != 1 || late.times(key, "v") != 1 {
-			t.Errorf("change %d came more than once", n)
+		waitFor(t, "a change", func() bool { return early.deliveries(key, "v") > 0 && early.deliveries(object, "") > 0 })
+		waitFor(t, "a setting at the late subscriber", func() bool { return late.deliveries(key, "v") > 0 })
+		if early.deliveries(key, "v") != 1 || early.deliveries(object, "") != 1 || late.deliveries(key, "v") != 1 {
+			t.Errorf("change %d was delivered more than once", n)
 		}
 	}
 	waitFor(t, "the relay's status", func() bool {
@@ -41,8 +41,8 @@
 	})
 }
 
-// Many publish at once: each gets a position of its own, and all are on disk.
-func TestPublishAtOnce(t *testing.T) {
+// Concurrent publishes must get distinct positions, and all changes must be on disk.
+func TestConcurrentPublish(t *testing.T) {
 	options := Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir(), Listen: "127.0.0.1:0"}
 	publisher := startServer(t, options)
 	const publishers, each = 8, 50
@@ -83,7 +83,7 @@
 	}
 }
 
-// The log is compacted as it grows, and a publisher that is started again goes on from it.
+// The log must be compacted as it grows, and a restarted publisher must continue from it.
 func TestCompactionAndRestart(t *testing.T) {
 	options := Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir(), Listen: "127.0.0.1:0"}
 	publisher := startServer(t, options)
@@ -107,17 +107,17 @@
 	}
 	log.close()
 	if len(changes) >= rounds*201 {
-		t.Errorf("%d changes on disk: it was not compacted", len(changes))
+		t.Errorf("%d changes on disk: the log was not compacted", len(changes))
 	}
-	again := startServer(t, options)
-	late := startFollower(t, "late", again.Address())
-	waitFor(t, "the settings", func() bool { return late.times("key0", value) == 1 && late.times("key9", value) == 1 })
-	if next := publish(t, again, testPurges, "object-2", ""); next.Sequence != last.Sequence+1 {
-		t.Errorf("after the restart: %v, want the one after %v", next, last)
+	restarted := startServer(t, options)
+	late := startSubscriber(t, "late", restarted.Address())
+	waitFor(t, "the settings", func() bool { return late.deliveries("key0", value) == 1 && late.deliveries("key9", value) == 1 })
+	if next := publish(t, restarted, testPurges, "object-2", ""); next.Sequence != last.Sequence+1 {
+		t.Errorf("position after the restart: %v, want the successor of %v", next, last)
 	}
 }
 
-func TestOptionsThatDoNotFit(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	for _, c := range []struct {
 		field   string
 		options Options
@@ -128,40 +128,40 @@
 		{"Listen", Options{Feed: testConfig(feed.Subscriber, "x", "127.0.0.1:1"), Listen: "127.0.0.1:0"}},
 	} {
 		_, err := Start(c.options)
-		if wrong := (*OptionError)(nil); !errors.As(err, &wrong) || wrong.Field != c.field {
-			t.Errorf("want a fault of %s, have %v", c.field, err)
+		if optionErr := (*OptionError)(nil); !errors.As(err, &optionErr) || optionErr.Field != c.field {
+			t.Errorf("want an error for %s, got %v", c.field, err)
 		}
 	}
 	_, err := Start(Options{Feed: testConfig(feed.Subscriber, "x")})
-	if wrong := (*feed.ConfigError)(nil); !errors.As(err, &wrong) {
+	if configErr := (*feed.ConfigError)(nil); !errors.As(err, &configErr) {
 		t.Errorf("without parents: %v", err)
 	}
 }
 
-// Start leaves a directory free for the next one where the address is taken.
+// Start must release the directory's lock if the listening address is in use.
 func TestStartOnTakenAddress(t *testing.T) {
 	first := startPublisher(t)
 	options := Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir(), Listen: first.Address()}
 	if _, err := Start(options); err == nil {
-		t.Fatal("two servers at one address")
+		t.Fatal("two servers listen on one address")
 	}
 	options.Listen = "127.0.0.1:0"
 	startServer(t, options)
 }
 
-// A closed server's calls return, and nothing of it goes on.
+// Calls on a closed server must return, and none of its goroutines may remain.
 func TestClose(t *testing.T) {
 	before := runtime.NumGoroutine()
 	publisher, err := Start(Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir(), Listen: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFollower()
-	subscriber, err := Start(Options{Feed: testConfig(feed.Subscriber, "f", publisher.Address()), OnEvent: f.onEvent})
+	events := newTestSubscriber()
+	subscriber, err := Start(Options{Feed: testConfig(feed.Subscriber, "f", publisher.Address()), OnEvent: events.onEvent})
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "it is fresh", f.isFresh)
+	waitFor(t, "it is fresh", events.isFresh)
 	silent, err := net.Dial("tcp", publisher.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -171,46 +171,46 @@
 		t.Fatal(err)
 	}
 	if _, err := publisher.Publish(context.Background(), testPurges, []byte("object-1"), nil); !errors.Is(err, ErrClosed) {
-		t.Errorf("publish after the end: %v", err)
+		t.Errorf("Publish after Close: %v", err)
 	}
 	if status := publisher.Status(); status.Role != 0 {
-		t.Errorf("status after the end: %v", status)
+		t.Errorf("Status after Close: %v", status)
 	}
-	waitFor(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// subscribers is how many a memory test has in one process.
-const subscribers = 300
+// memoryTestSubscribers is the number of subscribers in TestSubscriberIsSmall.
+const memoryTestSubscribers = 300
 
-// A subscriber, with its connection at the relay, takes less than 64 KB of heap and stacks, and at most three goroutines
-// besides the relay's reader.
+// A subscriber, with its connection at the relay, must take at most 64 KiB of heap and stacks, and three goroutines besides
+// the relay's reader.
 func TestSubscriberIsSmall(t *testing.T) {
 	publisher := startPublisher(t)
 	relay := startServer(t, Options{Feed: testConfig(feed.Relay, "relay", publisher.Address())})
 	publish(t, publisher, testSettings, "key", "value")
 	memory, goroutines := memoryInUse(), runtime.NumGoroutine()
-	var followers []*follower
-	for n := range subscribers {
-		f := newFollower()
-		followers = append(followers, f)
-		startServer(t, Options{Feed: testConfig(feed.Subscriber, fmt.Sprint("s", n), relay.Address()), OnEvent: f.onEvent})
+	var subscribers []*testSubscriber
+	for n := range memoryTestSubscribers {
+		subscriber := newTestSubscriber()
+		subscribers = append(subscribers, subscriber)
+		startServer(t, Options{Feed: testConfig(feed.Subscriber, fmt.Sprint("s", n), relay.Address()), OnEvent: subscriber.onEvent})
 	}
-	for _, f := range followers {
-		waitFor(t, "the setting", func() bool { return f.times("key", "value") == 1 })
+	for _, subscriber := range subscribers {
+		waitFor(t, "the setting", func() bool { return subscriber.deliveries("key", "value") == 1 })
 	}
 	const atRelay, atSubscriber = 1, 3
-	waitFor(t, "few goroutines", func() bool {
-		return runtime.NumGoroutine()-goroutines <= subscribers*(atSubscriber+atRelay)
+	waitFor(t, "the goroutine count to drop", func() bool {
+		return runtime.NumGoroutine()-goroutines <= memoryTestSubscribers*(atSubscriber+atRelay)
 	})
-	each := (memoryInUse() - memory) / subscribers
-	t.Logf("%d bytes a subscriber, %d goroutines over all", each, runtime.NumGoroutine()-goroutines)
+	each := (memoryInUse() - memory) / memoryTestSubscribers
+	t.Logf("%d bytes per subscriber, %d goroutines in total", each, runtime.NumGoroutine()-goroutines)
 	if each > 64<<10 {
 		t.Errorf("a subscriber takes %d bytes", each)
 	}
-	runtime.KeepAlive(followers)
+	runtime.KeepAlive(subscribers)
 }
 
-// memoryInUse is the bytes of heap and stacks.
+// memoryInUse returns the bytes of heap and stacks in use, after a garbage collection.
 func memoryInUse() int {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -218,20 +218,20 @@
 	return int(stats.HeapAlloc + stats.StackInuse)
 }
 
-// A node of another cluster is refused.
+// A node of another cluster must be refused.
 func TestOtherClusterIsRefused(t *testing.T) {
 	publisher := startPublisher(t)
 	config := testConfig(feed.Subscriber, "stranger", publisher.Address())
 	config.Cluster = "other"
-	stranger := startServer(t, Options{Feed: config})
+	refused := startServer(t, Options{Feed: config})
 	waitFor(t, "a refusal", func() bool { return publisher.Status().Counters.Refused > 0 })
-	if status := stranger.Status(); status.Connected || status.Age != feed.AgeUnknown {
-		t.Errorf("the stranger: %+v", status)
+	if status := refused.Status(); status.Connected || status.Age != feed.AgeUnknown {
+		t.Errorf("the refused subscriber: %+v", status)
 	}
 }
 
-// A subscriber comes to its parent once that is there, over whatever way it is told to dial.
-func TestParentComesLater(t *testing.T) {
+// A subscriber must retry until its parent is reachable, using Options.Dial.
+func TestParentInitiallyUnavailable(t *testing.T) {
 	publisher := startPublisher(t)
 	var mu sync.Mutex
 	up, dials := false, 0
@@ -239,22 +239,22 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if dials++; !up {
-			return nil, errors.New("not there yet")
+			return nil, errors.New("not reachable yet")
 		}
 		return net.Dial("tcp", address)
 	}
-	f := newFollower()
-	startServer(t, Options{Feed: testConfig(feed.Subscriber, "f", publisher.Address()), OnEvent: f.onEvent, Dial: dial})
+	subscriber := newTestSubscriber()
+	startServer(t, Options{Feed: testConfig(feed.Subscriber, "f", publisher.Address()), OnEvent: subscriber.onEvent, Dial: dial})
 	waitFor(t, "three attempts", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		up = dials >= 3
 		return up
 	})
-	waitFor(t, "it is fresh", f.isFresh)
+	waitFor(t, "it is fresh", subscriber.isFresh)
 }
 
-// An attempt to connect that takes too long is given up.
+// A connection attempt that exceeds the dial timeout must be abandoned and retried.
 func TestDialTimeout(t *testing.T) {
 	publisher := startPublisher(t)
 	var mu sync.Mutex
@@ -272,7 +272,7 @@
 	}
 	config := testConfig(feed.Subscriber, "f", publisher.Address())
 	config.DialTimeout = 50 * time.Millisecond
-	f := newFollower()
-	startServer(t, Options{Feed: config, OnEvent: f.onEvent, Dial: dial})
-	waitFor(t, "it is fresh", f.isFresh)
+	subscriber := newTestSubscriber()
+	startServer(t, Options{Feed: config, OnEvent: subscriber.onEvent, Dial: dial})
+	waitFor(t, "it is fresh", subscriber.isFresh)
 }
