--- a/internal/feed/feednet/loop.go
+++ b/internal/feed/feednet/loop.go
@@ -235,7 +235,7 @@
 	l.stop(err)
 }
 
-// shutDown has the node take leave of all peers. The loop stops after this batch.
+// shutDown has the node announce its departure to all peers. The loop stops after this batch.
 func (l *loop) shutDown() {
 	l.node.Leave()
 	l.closing = true
--- a/internal/feed/feednet/server.go
+++ b/internal/feed/feednet/server.go
@@ -166,7 +166,7 @@
 	return s.done
 }
 
-// Close takes leave of all peers, closes the log and waits until all connections have ended. It returns the error that
+// Close notifies all peers, closes the log and waits until all connections have ended. It returns the error that
 // stopped the server, if any, or the error of closing the log. It may be called repeatedly.
 func (s *Server) Close() error {
 	s.enqueue(closeInput{})
--- a/internal/feed/feednet/server_test.go
+++ b/internal/feed/feednet/server_test.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "it is fresh", events.isFresh)
+	waitFor(t, "the subscriber to be fresh", events.isFresh)
 	silent, err := net.Dial("tcp", publisher.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -251,7 +251,7 @@
 		up = dials >= 3
 		return up
 	})
-	waitFor(t, "it is fresh", subscriber.isFresh)
+	waitFor(t, "the subscriber to be fresh", subscriber.isFresh)
 }
 
 // A connection attempt that exceeds the dial timeout must be abandoned and retried.
@@ -274,5 +274,5 @@
 	config.DialTimeout = 50 * time.Millisecond
 	subscriber := newTestSubscriber()
 	startServer(t, Options{Feed: config, OnEvent: subscriber.onEvent, Dial: dial})
-	waitFor(t, "it is fresh", subscriber.isFresh)
+	waitFor(t, "the subscriber to be fresh", subscriber.isFresh)
 }
--- a/internal/feed/feedscale/audit.go
+++ b/internal/feed/feedscale/audit.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// Violation is what an audit found wrong with a change at a subscriber.
+// Violation is a way in which the delivery of a change to a subscriber can be wrong.
 type Violation uint8
 
-// The faults.
+// The violations that an audit detects.
 const (
-	Lost       Violation = iota // published, and neither applied nor covered
+	Lost       Violation = iota // published, but neither applied nor covered
 	Duplicated                  // applied twice, or applied and covered
-	OutOfOrder                  // applied behind a later one
-	Unknown                     // applied, and never published as such
+	OutOfOrder                  // applied after a later change
+	Unknown                     // applied, but never published with this identity and position
 )
 
-// String names the fault.
+// String returns the violation's name.
 func (f Violation) String() string {
 	switch f {
 	case Lost:
@@ -31,7 +31,7 @@
 	}
 }
 
-// Finding is a fault of one change at one subscriber.
+// Finding reports a violation for one change at one subscriber.
 type Finding struct {
 	Subscriber int
 	Kind       Kind
@@ -40,22 +40,23 @@
 	Identity   uint64
 }
 
-// String describes the finding in one line.
+// String describes the finding on one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("subscriber %d: %v %016x at %d/%d: %v", f.Subscriber, f.Kind, f.Identity, f.Position.Epoch,
 		f.Position.Sequence, f.Violation)
 }
 
-// audit compares the histories of subscribers with what was published.
+// audit compares the histories of subscribers with the published changes.
 type audit struct {
-	published [kinds][]publishedChange
-	index     [kinds]map[uint64]int // of published, by identity
+	published [kinds][]publishAttempt
+	index     [kinds]map[uint64]int // into published, by identity
 }
 
+// newAudit returns an audit of the changes in a ledger, which must not grow any more.
 func newAudit(ledger *ledger) *audit {
 	a := &audit{}
 	for kind := range kinds {
-		a.published[kind] = placeUncertain(ledger.published(kind))
+		a.published[kind] = assignUncertainPositions(ledger.published(kind))
 		a.index[kind] = make(map[uint64]int, len(a.published[kind]))
 		for i, change := range a.published[kind] {
 			a.index[kind][change.Identity] = i
@@ -64,8 +65,9 @@
 	return a
 }
 
-// placeUncertain gives changes of unknown position that of the one before, so that positions never fall.
-func placeUncertain(changes []publishedChange) []publishedChange {
+// assignUncertainPositions gives each unacknowledged change the position of the acknowledged one before it, so that
+// positions never decrease. It modifies and returns the slice.
+func assignUncertainPositions(changes []publishAttempt) []publishAttempt {
 	var last position
 	for i := range changes {
 		if changes[i].Acknowledged {
@@ -76,14 +78,14 @@
 	return changes
 }
 
-// Coverage counts how a subscriber came by the changes that it did not apply one by one.
+// Coverage counts the changes that a subscriber did not apply individually, by how they were covered.
 type Coverage struct {
 	ByPrefix   int // purges covered by the prefix of their key
 	ByReset    int // changes covered by a reset
-	Superseded int // settings of which a later value was applied
+	Superseded int // settings replaced by a later value of the same key
 }
 
-// check audits one subscriber's history.
+// check audits one subscriber's history, and returns the violations and how changes were covered otherwise.
 func (a *audit) check(subscriber int, history *history) ([]Finding, Coverage) {
 	history.mutex.Lock()
 	defer history.mutex.Unlock()
@@ -92,7 +94,7 @@
 	for kind := range kinds {
 		walk := newAuditWalk(a, subscriber, kind)
 		walk.run(history)
-		walk.finish()
+		walk.reportLost()
 		findings = append(findings, walk.findings...)
 		coverage.ByPrefix += walk.coverage.ByPrefix
 		coverage.ByReset += walk.coverage.ByReset
@@ -101,29 +103,30 @@
 	return findings, coverage
 }
 
-// auditWalk goes through one subscriber's history of one kind.
+// auditWalk goes through one subscriber's history for one kind of changes.
 type auditWalk struct {
-	published  []publishedChange
+	published  []publishAttempt
 	index      map[uint64]int
 	subscriber int
 	kind       Kind
-	taken      []bool // by index of published: applied or covered
+	accounted  []bool // by index of published: applied or covered so far
 	cursor     position
 	findings   []Finding
 	coverage   Coverage
 }
 
+// newAuditWalk returns a walk with no change accounted for yet.
 func newAuditWalk(a *audit, subscriber int, kind Kind) *auditWalk {
 	published := a.published[kind]
 	return &auditWalk{published: published, index: a.index[kind], subscriber: subscriber, kind: kind,
-		taken: make([]bool, len(published))}
+		accounted: make([]bool, len(published))}
 }
 
-// run takes the applied changes and covered ranges in the order in which they came.
+// run processes the applied changes and covered ranges in the order in which the subscriber received them.
 func (w *auditWalk) run(history *history) {
 	covered := history.covered
 	for i, change := range history.applied {
-		for len(covered) > 0 && covered[0].After <= i {
+		for len(covered) > 0 && covered[0].AppliedBefore <= i {
 			w.cover(covered[0])
 			covered = covered[1:]
 		}
@@ -134,6 +137,7 @@
 	}
 }
 
+// apply accounts for an applied change, and reports it if it is unknown, duplicated or out of order.
 func (w *auditWalk) apply(change appliedChange) {
 	if change.Kind != w.kind {
 		return
@@ -145,21 +149,22 @@
 		return
 	}
 	switch {
-	case w.taken[i]:
+	case w.accounted[i]:
 		w.report(Duplicated, at, change.Identity)
 	case at.compare(w.cursor) <= 0:
 		w.report(OutOfOrder, at, change.Identity)
 	}
-	w.taken[i] = true
+	w.accounted[i] = true
 	w.advance(at)
 }
 
-// cover takes a range. A published change within it has to be among its prefixes, and must not have been applied already.
+// cover accounts for the acknowledged changes within a range. Unless the range is a reset, each must match one of its
+// prefixes and must not have been applied or covered before.
 func (w *auditWalk) cover(covered coveredRange) {
 	if covered.Kind != w.kind {
 		return
 	}
-	first, _ := slices.BinarySearchFunc(w.published, covered.From, func(change publishedChange, from position) int {
+	first, _ := slices.BinarySearchFunc(w.published, covered.From, func(change publishAttempt, from position) int {
 		if change.Position.compare(from) <= 0 {
 			return -1
 		}
@@ -177,46 +182,49 @@
 	w.advance(covered.To)
 }
 
+// coverChange accounts for the published change with index i, which is within a covered range.
 func (w *auditWalk) coverChange(i int, covered coveredRange) {
 	change := w.published[i]
 	switch {
 	case covered.Reset:
-		if !w.taken[i] {
+		if !w.accounted[i] {
 			w.coverage.ByReset++
 		}
-	case w.taken[i]:
+	case w.accounted[i]:
 		w.report(Duplicated, change.Position, change.Identity)
 	case !covered.includes(change.Identity):
-		return // found as lost at the end
+		return // reported as lost at the end
 	default:
 		w.coverage.ByPrefix++
 	}
-	w.taken[i] = true
+	w.accounted[i] = true
 }
 
-// includes tells whether an identity has one of the range's prefixes.
+// includes reports whether an identity has one of the range's prefixes.
 func (c coveredRange) includes(identity uint64) bool {
 	_, found := slices.BinarySearch(c.Prefixes, identity>>(identityBits-c.PrefixBits))
 	return found
 }
 
+// advance moves the cursor forward to a position; it never moves back.
 func (w *auditWalk) advance(to position) {
 	if to.compare(w.cursor) > 0 {
 		w.cursor = to
 	}
 }
 
-// finish finds what was lost. A setting may be left out where a later value of its key was applied.
-func (w *auditWalk) finish() {
-	later := map[string]bool{} // keys of settings of which a later value was applied
+// reportLost reports the acknowledged changes that are not accounted for, except settings superseded by a later value of
+// the same key. It also sorts all findings by sequence.
+func (w *auditWalk) reportLost() {
+	superseded := map[string]bool{} // keys of settings with a later value accounted for
 	for i, change := range slices.Backward(w.published) {
 		switch {
-		case w.taken[i]:
+		case w.accounted[i]:
 			if w.kind == Settings {
-				later[change.Key] = true
+				superseded[change.Key] = true
 			}
 		case !change.Acknowledged:
-		case later[change.Key] && w.kind == Settings:
+		case superseded[change.Key] && w.kind == Settings:
 			w.coverage.Superseded++
 		default:
 			w.report(Lost, change.Position, change.Identity)
@@ -225,6 +233,7 @@
 	slices.SortStableFunc(w.findings, func(x, y Finding) int { return cmp.Compare(x.Position.Sequence, y.Position.Sequence) })
 }
 
+// report adds a finding.
 func (w *auditWalk) report(fault Violation, at position, identity uint64) {
 	w.findings = append(w.findings, Finding{w.subscriber, w.kind, fault, at, identity})
 }
--- a/internal/feed/feedscale/control_local.go
+++ b/internal/feed/feedscale/control_local.go
@@ -9,8 +9,8 @@
 	"larchthread/internal/feed/feednet"
 )
 
-// localControl runs the publisher and the relays in this process.
-type localControl struct {
+// localControlPlane runs the publisher and the relays in the calling process.
+type localControlPlane struct {
 	directory string
 	seed      uint64
 
@@ -19,11 +19,12 @@
 	relays    map[int]*feednet.Server
 }
 
-func newLocalControl(directory string, seed uint64) *localControl {
-	return &localControl{directory: directory, seed: seed, relays: map[int]*feednet.Server{}}
+// newLocalControlPlane returns a control plane with nothing started. The directory is for the publisher's log.
+func newLocalControlPlane(directory string, seed uint64) *localControlPlane {
+	return &localControlPlane{directory: directory, seed: seed, relays: map[int]*feednet.Server{}}
 }
 
-func (c *localControl) publish(ctx context.Context, change plannedChange) (position, error) {
+func (c *localControlPlane) publish(ctx context.Context, change plannedChange) (position, error) {
 	c.mutex.Lock()
 	publisher := c.publisher
 	c.mutex.Unlock()
@@ -34,7 +35,7 @@
 	return position(at), err
 }
 
-func (c *localControl) startPublisher(address string) error {
+func (c *localControlPlane) startPublisher(address string) error {
 	publisher, err := feednet.Start(feednet.Options{Feed: publisherConfig(), Listen: address, Directory: c.directory})
 	if err != nil {
 		return err
@@ -45,7 +46,7 @@
 	return nil
 }
 
-func (c *localControl) startRelay(relay int, address, publisher string) error {
+func (c *localControlPlane) startRelay(relay int, address, publisher string) error {
 	server, err := feednet.Start(feednet.Options{Feed: relayConfig(relay, publisher, c.seed), Listen: address})
 	if err != nil {
 		return err
@@ -56,7 +57,7 @@
 	return nil
 }
 
-func (c *localControl) killPublisher() error {
+func (c *localControlPlane) killPublisher() error {
 	c.mutex.Lock()
 	publisher := c.publisher
 	c.publisher = nil
@@ -67,7 +68,7 @@
 	return publisher.Close()
 }
 
-func (c *localControl) killRelay(relay int) error {
+func (c *localControlPlane) killRelay(relay int) error {
 	c.mutex.Lock()
 	server := c.relays[relay]
 	delete(c.relays, relay)
@@ -78,14 +79,14 @@
 	return server.Close()
 }
 
-// errOneProcess tells that relays of this process can't be frozen by themselves.
-var errOneProcess = errors.New("only a relay that is a process of its own can be frozen")
+// errRelayNotProcess is returned for freezing a relay that runs in the calling process.
+var errRelayNotProcess = errors.New("only a relay in a separate process can be frozen")
 
-func (c *localControl) freezeRelay(int) error { return errOneProcess }
+func (c *localControlPlane) freezeRelay(int) error { return errRelayNotProcess }
 
-func (c *localControl) usage() (map[string]processUsage, error) { return nil, nil }
+func (c *localControlPlane) usage() (map[string]processUsage, error) { return nil, nil }
 
-func (c *localControl) close() error {
+func (c *localControlPlane) close() error {
 	failures := []error{c.killPublisher()}
 	for relay := range c.relays {
 		failures = append(failures, c.killRelay(relay))
--- a/internal/feed/feedscale/control_processes.go
+++ b/internal/feed/feedscale/control_processes.go
@@ -19,11 +19,11 @@
 
 const (
 	publisherName = "publisher"
-	readyLimit    = 10 * time.Second // until a process that was started says that it is ready
+	readyTimeout  = 10 * time.Second // for a started process to report that it is ready
 )
 
-// processControl runs the publisher and each relay as a process of the program.
-type processControl struct {
+// processControlPlane runs the publisher and each relay as a separate process of the program under test.
+type processControlPlane struct {
 	program     string
 	environment []string
 	directory   string
@@ -33,21 +33,23 @@
 	processes map[string]*controlProcess
 }
 
-// controlProcess is a process of the program's control command.
+// controlProcess is a process that runs the program's control command.
 type controlProcess struct {
 	command *exec.Cmd
 	input   io.WriteCloser
-	lines   chan string // of its output; closed at its end
+	lines   chan string // of its standard output; closed when it has exited
 
-	mutex sync.Mutex // of one attempt to publish at a time
+	mutex sync.Mutex // serializes requests
 }
 
-func newProcessControl(options Options, directory string) *processControl {
-	return &processControl{program: options.Program, environment: options.Environment, directory: directory, seed: options.Seed,
+// newProcessControlPlane returns a control plane with nothing started. The directory is for configuration files and the
+// publisher's log.
+func newProcessControlPlane(options Options, directory string) *processControlPlane {
+	return &processControlPlane{program: options.Program, environment: options.Environment, directory: directory, seed: options.Seed,
 		processes: map[string]*controlProcess{}}
 }
 
-// controlFile is the program's control file, as far as it is used here.
+// controlFile is the configuration file of the control command, with the keys used here.
 type controlFile struct {
 	Control controlSection `yaml:"control"`
 }
@@ -75,24 +77,24 @@
 	Window int `yaml:"window"`
 }
 
-func (c *processControl) startPublisher(address string) error {
-	log := filepath.Join(c.directory, "log")
-	if err := os.MkdirAll(log, 0o700); err != nil {
+func (c *processControlPlane) startPublisher(address string) error {
+	logDirectory := filepath.Join(c.directory, "log")
+	if err := os.MkdirAll(logDirectory, 0o700); err != nil {
 		return err
 	}
 	return c.start(controlSection{Cluster: clusterName, ID: publisherName, Role: "publisher", Epoch: publisherEpoch,
-		Listen: address, Directory: log})
+		Listen: address, Directory: logDirectory})
 }
 
-func (c *processControl) startRelay(relay int, address, publisher string) error {
+func (c *processControlPlane) startRelay(relay int, address, publisher string) error {
 	return c.start(controlSection{Cluster: clusterName, ID: relayName(relay), Role: "relay", Listen: address,
 		Parents: []string{publisher}, Seed: c.seed + uint64(relay) + 1})
 }
 
 func relayName(relay int) string { return fmt.Sprintf("relay-%d", relay) }
 
-// start starts a process, and returns once it is ready.
-func (c *processControl) start(section controlSection) error {
+// start writes the configuration file, starts the process and waits until it is ready.
+func (c *processControlPlane) start(section controlSection) error {
 	section.Settings = settingsSection{settingsWindow, maxSettingBytes}
 	section.Purges = purgesSection{purgesWindow}
 	text, err := yaml.Marshal(controlFile{section})
@@ -110,9 +112,10 @@
 	c.mutex.Lock()
 	c.processes[section.ID] = process
 	c.mutex.Unlock()
-	return process.awaitReady()
+	return process.waitReady()
 }
 
+// startProcess starts the program's control command with pipes for its standard input and output.
 func startProcess(program string, environment []string, config string) (*controlProcess, error) {
 	command := exec.Command(program, "control", "--config", config)
 	command.Env = append(os.Environ(), environment...)
@@ -132,7 +135,7 @@
 	return process, nil
 }
 
-// read passes the lines of the output on to whoever waits for one, and collects the process at its end.
+// read sends the lines of the process's output to p.lines, which it closes once the process has exited.
 func (p *controlProcess) read(output io.Reader) {
 	scanner := bufio.NewScanner(output)
 	for scanner.Scan() {
@@ -145,31 +148,34 @@
 var (
 	errProcessEnded = errors.New("the process has ended")
 	errNotRunning   = errors.New("the process is not running")
-	errNotReady     = errors.New("the process is not ready in time")
+	errNotReady     = errors.New("the process did not become ready")
 )
 
-func (p *controlProcess) awaitReady() error {
+// waitReady waits for the line that tells that the process is ready. It fails if another line or the end of the output
+// comes first, or after readyTimeout.
+func (p *controlProcess) waitReady() error {
 	select {
-	case line, open := <-p.lines:
-		if !open {
+	case line, ok := <-p.lines:
+		if !ok {
 			return errProcessEnded
 		}
 		if !strings.HasPrefix(line, "ready ") {
 			return fmt.Errorf("%w: %q", errNotReady, line)
 		}
 		return nil
-	case <-time.After(readyLimit):
+	case <-time.After(readyTimeout):
 		return errNotReady
 	}
 }
 
-func (c *processControl) process(name string) *controlProcess {
+// process returns the process of a name, or nil if it is not running.
+func (c *processControlPlane) process(name string) *controlProcess {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.processes[name]
 }
 
-func (c *processControl) publish(ctx context.Context, change plannedChange) (position, error) {
+func (c *processControlPlane) publish(ctx context.Context, change plannedChange) (position, error) {
 	publisher := c.process(publisherName)
 	if publisher == nil {
 		return position{}, errNotRunning
@@ -178,24 +184,24 @@
 	if change.Kind == Settings {
 		line += " " + change.Value
 	}
-	answer, err := publisher.ask(ctx, line)
+	answer, err := publisher.request(ctx, line)
 	if err != nil {
 		return position{}, err
 	}
 	return parsePosition(answer)
 }
 
-// ask writes a line and returns the answer. Where the answer does not come in time the process is of no more use, since a later
-// line would get it.
-func (p *controlProcess) ask(ctx context.Context, line string) (string, error) {
+// request sends a line to the process and returns the line that it answers. If ctx ends first, it kills the process, since
+// a later request would receive the late answer.
+func (p *controlProcess) request(ctx context.Context, line string) (string, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if _, err := io.WriteString(p.input, line+"\n"); err != nil {
 		return "", err
 	}
 	select {
-	case answer, open := <-p.lines:
-		if !open {
+	case answer, ok := <-p.lines:
+		if !ok {
 			return "", errProcessEnded
 		}
 		return answer, nil
@@ -204,18 +210,19 @@
 	}
 }
 
+// parsePosition parses the publisher's answer to a successful publish.
 func parsePosition(answer string) (at position, err error) {
 	if _, err := fmt.Sscanf(answer, "ok %d/%d", &at.Epoch, &at.Sequence); err != nil {
-		return position{}, fmt.Errorf("publisher said %q", answer)
+		return position{}, fmt.Errorf("unexpected answer from publisher: %q", answer)
 	}
 	return at, nil
 }
 
-func (c *processControl) killPublisher() error { return c.kill(publisherName) }
+func (c *processControlPlane) killPublisher() error { return c.kill(publisherName) }
 
-func (c *processControl) killRelay(relay int) error { return c.kill(relayName(relay)) }
+func (c *processControlPlane) killRelay(relay int) error { return c.kill(relayName(relay)) }
 
-func (c *processControl) freezeRelay(relay int) error {
+func (c *processControlPlane) freezeRelay(relay int) error {
 	process := c.process(relayName(relay))
 	if process == nil {
 		return errNotRunning
@@ -223,8 +230,8 @@
 	return process.command.Process.Signal(syscall.SIGSTOP)
 }
 
-// kill ends a process as SIGKILL does, and forgets it.
-func (c *processControl) kill(name string) error {
+// kill kills the process of a name, if it is running, and removes it.
+func (c *processControlPlane) kill(name string) error {
 	c.mutex.Lock()
 	process := c.processes[name]
 	delete(c.processes, name)
@@ -235,17 +242,17 @@
 	return process.kill()
 }
 
-// kill returns once the process is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *controlProcess) kill() error {
 	if err := p.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
-	for range p.lines { // until it is collected
+	for range p.lines { // until the process has exited
 	}
 	return nil
 }
 
-func (c *processControl) usage() (map[string]processUsage, error) {
+func (c *processControlPlane) usage() (map[string]processUsage, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	used := map[string]processUsage{}
@@ -259,7 +266,7 @@
 	return used, nil
 }
 
-func (c *processControl) close() error {
+func (c *processControlPlane) close() error {
 	c.mutex.Lock()
 	var names []string
 	for name := range c.processes {
--- a/internal/feed/feedscale/faults.go
+++ b/internal/feed/feedscale/faults.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	restartPause = time.Second     // between the death of publisher and relays and their restart
-	faultWindow  = 5 * time.Second // changes that are due so long after a fault are summed up apart
+	restartDelay   = time.Second     // between killing and restarting the publisher and relays
+	recoveryWindow = 5 * time.Second // changes due within this time after a fault count for its result
 )
 
-// faultMark is a fault on the run's time line.
-type faultMark struct {
-	Text      string
-	Isolating bool            // it met the subscribers of cutRegion alone
-	From, To  time.Duration   // since the run began
-	Heads     [kinds]position // what had been published when it was over
+// injectedFault records a fault that was injected.
+type injectedFault struct {
+	Text          string
+	CutRegionOnly bool            // it affected only subscribers in cutRegion
+	From, To      time.Duration   // since the start of the run
+	Heads         [kinds]position // the last acknowledged position of each kind when the fault was over
 }
 
-// strike waits for the time of the faults and brings them about, one after another. It returns what it did.
-func (f *fleet) strike(ctx context.Context, say func(string)) ([]faultMark, error) {
-	faults := f.faults()
+// injectFaults waits for the time of the faults and injects them one after another. It returns the faults that are over,
+// and an error if one could not be injected or ctx ended.
+func (f *fleet) injectFaults(ctx context.Context, progress func(string)) ([]injectedFault, error) {
+	faults := f.plannedFaults()
 	if len(faults) == 0 {
 		return nil, nil
 	}
-	if !sleep(ctx, f.options.faultAt()) {
+	if !sleep(ctx, f.options.faultTime()) {
 		return nil, ctx.Err()
 	}
-	var marks []faultMark
+	var injected []injectedFault
 	for _, fault := range faults {
-		mark := faultMark{Text: fault.text, Isolating: fault.isolating, From: time.Since(f.began)}
-		say(fault.text)
-		if err := fault.strike(ctx); err != nil {
-			return marks, fmt.Errorf("%s: %w", fault.text, err)
+		record := injectedFault{Text: fault.text, CutRegionOnly: fault.cutRegionOnly, From: time.Since(f.startTime)}
+		progress(fault.text)
+		if err := fault.inject(ctx); err != nil {
+			return injected, fmt.Errorf("%s: %w", fault.text, err)
 		}
-		mark.To = time.Since(f.began)
+		record.To = time.Since(f.startTime)
 		for kind := range kinds {
-			mark.Heads[kind] = f.ledger.head(kind, mark.To)
+			record.Heads[kind] = f.ledger.head(kind, record.To)
 		}
-		marks = append(marks, mark)
-		say("over: " + fault.text)
+		injected = append(injected, record)
+		progress("over: " + fault.text)
 	}
-	return marks, nil
+	return injected, nil
 }
 
-// plannedFault is a fault that the options ask for.
+// plannedFault is a fault requested by the options.
 type plannedFault struct {
-	text      string
-	isolating bool // it meets the subscribers of cutRegion alone
-	strike    func(context.Context) error
+	text          string
+	cutRegionOnly bool // it affects only subscribers in cutRegion
+	inject        func(context.Context) error
 }
 
-func (f *fleet) faults() (faults []plannedFault) {
+// plannedFaults returns the faults requested by the options, in the order of injection.
+func (f *fleet) plannedFaults() (faults []plannedFault) {
 	options := f.options
 	if options.KillRelays > 0 {
 		faults = append(faults, plannedFault{fmt.Sprintf("%d relays killed", options.KillRelays), false, f.killRelays})
@@ -70,26 +72,28 @@
 	return faults
 }
 
-// killRelays ends relays from the middle of the list, which are alone in their regions in a fleet of the default size.
+// killRelays kills relays from the middle of the list. In a fleet of the default size each is the only one of its region.
 func (f *fleet) killRelays(context.Context) error {
-	return f.strikeRelays(0, f.options.KillRelays, f.control.killRelay)
+	return f.injectRelayFault(0, f.options.KillRelays, f.control.killRelay)
 }
 
-// freezeRelays freezes those that come behind them in the list.
+// freezeRelays freezes the relays that follow those to kill in the list.
 func (f *fleet) freezeRelays(context.Context) error {
-	return f.strikeRelays(f.options.KillRelays, f.options.FreezeRelays, f.control.freezeRelay)
+	return f.injectRelayFault(f.options.KillRelays, f.options.FreezeRelays, f.control.freezeRelay)
 }
 
-func (f *fleet) strikeRelays(first, number int, strike func(relay int) error) error {
+// injectRelayFault calls inject for a number of relays, counting from the middle of the list plus first.
+func (f *fleet) injectRelayFault(first, number int, inject func(relay int) error) error {
 	for i := range number {
 		relay := (len(f.relays)/2 + first + i) % len(f.relays)
-		if err := strike(relay); err != nil {
+		if err := inject(relay); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// cutRegion partitions the region cutRegion from all others for the duration set in the options.
 func (f *fleet) cutRegion(ctx context.Context) error {
 	f.partition.begin()
 	defer f.partition.heal()
@@ -99,17 +103,18 @@
 	return nil
 }
 
+// restartAll kills the publisher and all relays, and restarts them after restartDelay.
 func (f *fleet) restartAll(ctx context.Context) error {
 	if err := f.killControl(); err != nil {
 		return err
 	}
-	if !sleep(ctx, restartPause) {
+	if !sleep(ctx, restartDelay) {
 		return ctx.Err()
 	}
 	return f.restartControl()
 }
 
-// sleep waits, and tells whether it did so to the end.
+// sleep waits for a duration. It returns false if ctx ends first.
 func sleep(ctx context.Context, length time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/feed/feedscale/feedconfig.go
+++ b/internal/feed/feedscale/feedconfig.go
@@ -10,11 +10,11 @@
 	clusterName     = "feedscale"
 	publisherEpoch  = 1
 	settingsWindow  = 4096
-	purgesWindow    = 30_000 // over 20 minutes at 22 a second
+	purgesWindow    = 30_000 // over 20 minutes at 22 purges per second
 	maxSettingBytes = 256
 )
 
-// feedKinds are the kinds of changes, as the program's control command has them by default.
+// feedKinds returns the configuration of the kinds of changes, with the defaults of the program's control command.
 func feedKinds() []feed.KindConfig {
 	return []feed.KindConfig{
 		Settings: {Name: Settings.String(), Stateful: true, Window: settingsWindow, MaxValue: maxSettingBytes},
@@ -22,15 +22,18 @@
 	}
 }
 
+// publisherConfig returns the feed configuration of the publisher.
 func publisherConfig() feed.Config {
 	return feed.Config{Cluster: clusterName, ID: "publisher", Role: feed.Publisher, Epoch: publisherEpoch, Kinds: feedKinds()}
 }
 
+// relayConfig returns the feed configuration of a relay that connects to the publisher's address.
 func relayConfig(relay int, publisher string, seed uint64) feed.Config {
 	return feed.Config{Cluster: clusterName, ID: fmt.Sprintf("relay-%d", relay), Role: feed.Relay, Kinds: feedKinds(),
 		Parents: []string{publisher}, Seed: seed + uint64(relay)}
 }
 
+// subscriberConfig returns the feed configuration of a subscriber with the addresses of its relays, preferred ones first.
 func subscriberConfig(subscriber int, relays []string, seed uint64) feed.Config {
 	return feed.Config{Cluster: clusterName, ID: fmt.Sprintf("balancer-%d", subscriber), Role: feed.Subscriber, Kinds: feedKinds(),
 		Parents: relays, Seed: seed + uint64(subscriber)}
--- a/internal/feed/feedscale/fleet.go
+++ b/internal/feed/feedscale/fleet.go
@@ -10,36 +10,36 @@
 // fleet is a publisher, its relays and its subscribers.
 type fleet struct {
 	options          Options
-	began            time.Time
+	startTime        time.Time
 	placement        placement
 	partition        *partition // around cutRegion
-	control          control
+	control          controlPlane
 	publisherAddress string
 	relays           []*relay
 	forwarders       []*forwarder // between the publisher and each relay
 	publisherSent    []*meter     // by relay
-	subscribers      []*hollowSubscriber
+	subscribers      []*recordingSubscriber
 	ledger           ledger
 }
 
-// newFleet prepares a fleet for a run of at most the given length, and starts nothing yet.
-func newFleet(options Options, control control, length time.Duration) (*fleet, error) {
+// newFleet creates a fleet for a run of at most the given length, without starting anything.
+func newFleet(options Options, control controlPlane, length time.Duration) (*fleet, error) {
 	addresses, err := freeAddresses(options.Relays + 1)
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{options: options, began: time.Now(), placement: newPlacement(options), partition: &partition{},
+	f := &fleet{options: options, startTime: time.Now(), placement: newPlacement(options), partition: &partition{},
 		control: control, publisherAddress: addresses[0]}
 	byAddress := map[string]*relay{}
 	for i, address := range addresses[1:] {
-		relay := &relay{address: address, region: f.placement.relayRegions[i], sent: newMeter(f.began, length)}
+		relay := &relay{address: address, region: f.placement.relayRegions[i], sent: newMeter(f.startTime, length)}
 		f.relays = append(f.relays, relay)
 		byAddress[address] = relay
-		f.publisherSent = append(f.publisherSent, newMeter(f.began, length))
+		f.publisherSent = append(f.publisherSent, newMeter(f.startTime, length))
 	}
 	for i := range options.Subscribers {
-		f.subscribers = append(f.subscribers, &hollowSubscriber{index: i, began: f.began,
-			received: newMeter(f.began, length), sent: newMeter(f.began, length),
+		f.subscribers = append(f.subscribers, &recordingSubscriber{index: i, runStart: f.startTime,
+			received: newMeter(f.startTime, length), sent: newMeter(f.startTime, length),
 			dialer: subscriberDialer{f.partition, f.placement.inCutRegion(i), byAddress}})
 	}
 	return f, nil
@@ -50,14 +50,14 @@
 	if err := f.control.startPublisher(f.publisherAddress); err != nil {
 		return fmt.Errorf("publisher: %w", err)
 	}
-	none := &partition{}
+	noPartition := &partition{}
 	for i, relay := range f.relays {
-		between := none
+		crossed := noPartition
 		if relay.region == cutRegion {
-			between = f.partition
+			crossed = f.partition
 		}
-		meters := &meteredPair{fromTarget: f.publisherSent[i], toTarget: newMeter(f.began, length)}
-		forwarder, err := startForwarder(f.publisherAddress, between, meters)
+		meters := &meterPair{fromTarget: f.publisherSent[i], toTarget: newMeter(f.startTime, length)}
+		forwarder, err := startForwarder(f.publisherAddress, crossed, meters)
 		if err != nil {
 			return err
 		}
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// restartControl starts the publisher and the relays again, behind the forwarders that are there.
+// restartControl restarts the publisher and the relays at their old addresses; the forwarders between them stay.
 func (f *fleet) restartControl() error {
 	failures := []error{f.control.startPublisher(f.publisherAddress)}
 	for i, relay := range f.relays {
@@ -78,7 +78,7 @@
 	return errors.Join(failures...)
 }
 
-// killControl ends the publisher and all relays at once.
+// killControl kills the publisher and all relays.
 func (f *fleet) killControl() error {
 	failures := []error{f.control.killPublisher()}
 	for i := range f.relays {
@@ -87,7 +87,7 @@
 	return errors.Join(failures...)
 }
 
-// startSubscribers starts all subscribers.
+// startSubscribers starts all subscribers, without waiting for their connections.
 func (f *fleet) startSubscribers() error {
 	for i, subscriber := range f.subscribers {
 		var addresses []string
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// close ends everything that was started.
+// close stops everything that was started, and returns all errors joined.
 func (f *fleet) close() error {
 	f.partition.heal()
 	var failures []error
@@ -117,49 +117,51 @@
 	return errors.Join(failures...)
 }
 
-// fresh is the number of subscribers whose knowledge is complete and recent.
-func (f *fleet) fresh() (number int) {
+// countFresh returns the number of subscribers whose data is complete and recent.
+func (f *fleet) countFresh() (count int) {
 	for _, subscriber := range f.subscribers {
 		if subscriber.history.isFresh() {
-			number++
+			count++
 		}
 	}
-	return number
+	return count
 }
 
-// current is the number of subscribers that have come to the last acknowledged change of each kind.
-func (f *fleet) current() int { return f.have(time.Since(f.began)) }
+// countCurrent returns the number of subscribers that have reached the last acknowledged change of each kind.
+func (f *fleet) countCurrent() int { return f.countCaughtUp(time.Since(f.startTime)) }
 
-// have is the number of subscribers that have all that had been acknowledged at a time since the run began.
-func (f *fleet) have(at time.Duration) (number int) {
+// countCaughtUp returns the number of subscribers that have reached all changes acknowledged up to a time, given since the
+// start of the run.
+func (f *fleet) countCaughtUp(at time.Duration) (count int) {
 	var heads [kinds]uint64
 	for kind := range kinds {
 		heads[kind] = f.ledger.head(kind, at).Sequence
 	}
 	for _, subscriber := range f.subscribers {
 		if subscriber.history.reached(heads) {
-			number++
+			count++
 		}
 	}
-	return number
+	return count
 }
 
-const pollEvery = 10 * time.Millisecond
+const pollInterval = 10 * time.Millisecond
 
-// errTimeout tells that a condition did not come about.
-var errTimeout = errors.New("gave up waiting")
+// errTimeout is returned by waitForAll if not all subscribers meet the condition in time.
+var errTimeout = errors.New("timed out")
 
-// await waits until all subscribers meet a condition.
-func (f *fleet) await(ctx context.Context, what string, number func() int, limit time.Duration) error {
-	deadline := time.Now().Add(limit)
-	for number() < len(f.subscribers) {
+// waitForAll polls until count returns the number of all subscribers. It returns an error that wraps errTimeout after the
+// timeout, or the error of ctx; the name of the condition is for the error's text.
+func (f *fleet) waitForAll(ctx context.Context, condition string, count func() int, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for count() < len(f.subscribers) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%w: %d of %d subscribers %s after %v", errTimeout, number(), len(f.subscribers), what, limit)
+			return fmt.Errorf("%w: %d of %d subscribers %s after %v", errTimeout, count(), len(f.subscribers), condition, timeout)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
--- a/internal/feed/feedscale/growth_test.go
+++ b/internal/feed/feedscale/growth_test.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	growthRelays   = 3
-	growthStart    = 10 * time.Second // until all are connected
-	growthSettle   = 5 * time.Second
-	growthMargin   = 1.05 // nodes draw their waits, so that their batches fall differently
-	growthLength   = 20 * time.Second
-	perSubscriber  = 700.0 // bytes a second, at most
-	publisherLimit = 1000  // bytes a second to each relay, at most
+	growthRelays      = 3
+	growthStart       = 10 * time.Second // for all nodes to connect
+	growthSettleTime  = 5 * time.Second
+	growthTolerance   = 1.05 // nodes have random delays, so the boundaries of their batches vary
+	growthDuration    = 20 * time.Second
+	maxSubscriberRate = 700.0 // bytes per second
+	maxRelayRate      = 1000  // bytes per second to each relay
 )
 
-// sentIn has a virtual fleet play the workload, and returns what the publisher and what all relays sent meanwhile.
-func sentIn(t *testing.T, subscribers int) (publisher, relays traffic) {
+// measureTraffic runs the workload on a virtual fleet, and returns the traffic sent by the publisher and by all relays.
+func measureTraffic(t *testing.T, subscribers int) (publisher, relays traffic) {
 	fleet := newVirtualFleet(t, subscribers, growthRelays)
 	fleet.run(growthStart)
 	clear(fleet.sent)
 	fleet.publish(Options{PurgesPerSecond: DefaultPurgesPerSecond, SettingsPerSecond: 0.2, SettingBytes: DefaultSettingBytes,
-		Duration: growthLength, Seed: 7})
-	fleet.run(growthStart + growthLength)
+		Duration: growthDuration, Seed: 7})
+	fleet.run(growthStart + growthDuration)
 	for relay := range growthRelays {
 		relays.add(fleet.sent[1+relay])
 	}
 	publisher = fleet.sent[0]
-	fleet.run(growthStart + growthLength + growthSettle)
+	fleet.run(growthStart + growthDuration + growthSettleTime)
 	audit := newAudit(&fleet.ledger)
 	for i, subscriber := range fleet.subscribers {
 		findings, coverage := audit.check(i, &subscriber.history)
@@ -38,35 +38,36 @@
 	return publisher, relays
 }
 
-// TestGrowthIsLinear plays the same workload to 30, 60 and 120 subscribers. Messages and bytes of all relays may grow no
-// faster than the subscribers, and the publisher's not at all.
+// TestGrowthIsLinear runs the same workload with 30, 60 and 120 subscribers. The relays' messages and bytes must grow in
+// proportion to the subscribers, and the publisher's must not grow.
 func TestGrowthIsLinear(t *testing.T) {
 	const smallest = 30
-	publisher, relays := sentIn(t, smallest)
+	publisher, relays := measureTraffic(t, smallest)
 	t.Logf("%d subscribers: publisher %+v, relays %+v", smallest, publisher, relays)
-	if rate := float64(relays.Bytes) / smallest / growthLength.Seconds(); rate > perSubscriber {
-		t.Errorf("a subscriber is sent %.0f bytes a second, want at most %.0f", rate, perSubscriber)
+	if rate := float64(relays.Bytes) / smallest / growthDuration.Seconds(); rate > maxSubscriberRate {
+		t.Errorf("%.0f bytes per second to a subscriber, want at most %.0f", rate, maxSubscriberRate)
 	}
-	if rate := publisher.Bytes / growthRelays / int(growthLength.Seconds()); rate > publisherLimit {
-		t.Errorf("a relay is sent %d bytes a second, want at most %d", rate, publisherLimit)
+	if rate := publisher.Bytes / growthRelays / int(growthDuration.Seconds()); rate > maxRelayRate {
+		t.Errorf("%d bytes per second to a relay, want at most %d", rate, maxRelayRate)
 	}
-	for _, times := range []int{2, 4} {
-		morePublisher, moreRelays := sentIn(t, smallest*times)
-		t.Logf("%d subscribers: publisher %+v, relays %+v", smallest*times, morePublisher, moreRelays)
+	for _, factor := range []int{2, 4} {
+		morePublisher, moreRelays := measureTraffic(t, smallest*factor)
+		t.Logf("%d subscribers: publisher %+v, relays %+v", smallest*factor, morePublisher, moreRelays)
 		checkGrowth(t, "the publisher", publisher, morePublisher, 1)
-		checkGrowth(t, "the relays", relays, moreRelays, times)
+		checkGrowth(t, "the relays", relays, moreRelays, factor)
 	}
 }
 
-func checkGrowth(t *testing.T, who string, was, is traffic, times int) {
+// checkGrowth fails the test unless the traffic grew by the factor, within growthTolerance.
+func checkGrowth(t *testing.T, sender string, before, after traffic, factor int) {
 	t.Helper()
 	for _, c := range []struct {
-		what    string
+		unit    string
 		was, is int
-	}{{"messages", was.Segments, is.Segments}, {"bytes", was.Bytes, is.Bytes}} {
-		expected := float64(c.was * times)
-		if got := float64(c.is); got > expected*growthMargin || got < expected/growthMargin {
-			t.Errorf("%s: %d %s, want %.0f within %.0f%%", who, c.is, c.what, expected, 100*(growthMargin-1))
+	}{{"messages", before.Segments, after.Segments}, {"bytes", before.Bytes, after.Bytes}} {
+		expected := float64(c.was * factor)
+		if got := float64(c.is); got > expected*growthTolerance || got < expected/growthTolerance {
+			t.Errorf("%s: %d %s, want %.0f within %.0f%%", sender, c.is, c.unit, expected, 100*(growthTolerance-1))
 		}
 	}
 }
--- a/internal/feed/feedscale/history.go
+++ b/internal/feed/feedscale/history.go
@@ -7,7 +7,7 @@
 	"unsafe"
 )
 
-// appliedChange is a change that a subscriber applied.
+// appliedChange records a change that a subscriber applied.
 type appliedChange struct {
 	At       time.Duration // since the run began
 	Identity uint64
@@ -16,37 +16,39 @@
 	Kind     Kind
 }
 
+// position returns the change's position in the feed.
 func (a appliedChange) position() position {
 	return position{uint64(a.Epoch), uint64(a.Sequence)}
 }
 
-// coveredRange is a range of changes that a subscriber took in as a whole: by the prefixes of its keys, or as a reset, after
-// which everything counts as purged.
+// coveredRange records a range of changes that a subscriber received as a whole: as prefixes of the keys, or as a reset,
+// which counts as a purge of everything.
 type coveredRange struct {
-	At         time.Duration
-	After      int // the number of changes that had been applied before
-	Kind       Kind
-	From, To   position // the changes after From up to To
-	Reset      bool
-	PrefixBits int
-	Prefixes   []uint64 // rising
+	At            time.Duration
+	AppliedBefore int // number of changes applied before it
+	Kind          Kind
+	From, To      position // covers positions after From up to and including To
+	Reset         bool
+	PrefixBits    int
+	Prefixes      []uint64 // sorted
 }
 
-// history is what one subscriber applied, in its order.
+// history records what one subscriber received, in order. It is safe for concurrent use through its methods.
 type history struct {
-	mutex   sync.Mutex
-	applied []appliedChange
-	covered []coveredRange
-	fresh   []freshness
-	heads   [kinds]atomic.Uint64 // the last sequence by kind, for waiting and progress
+	mutex            sync.Mutex
+	applied          []appliedChange
+	covered          []coveredRange
+	freshnessChanges []freshnessChange
+	heads            [kinds]atomic.Uint64 // latest sequence by kind
 }
 
-// freshness tells when a subscriber's knowledge became stale or fresh.
-type freshness struct {
+// freshnessChange records when a subscriber became stale or fresh.
+type freshnessChange struct {
 	At    time.Duration
 	Stale bool
 }
 
+// apply records an applied change.
 func (h *history) apply(change appliedChange) {
 	h.mutex.Lock()
 	h.applied = append(h.applied, change)
@@ -54,33 +56,35 @@
 	h.advance(change.Kind, uint64(change.Sequence))
 }
 
-// advance notes the sequence that the subscriber has come to.
+// advance records the sequence that the subscriber has reached for a kind.
 func (h *history) advance(kind Kind, sequence uint64) {
 	h.heads[kind].Store(sequence)
 }
 
+// cover records a covered range and sets its AppliedBefore.
 func (h *history) cover(covered coveredRange) {
 	h.mutex.Lock()
-	covered.After = len(h.applied)
+	covered.AppliedBefore = len(h.applied)
 	h.covered = append(h.covered, covered)
 	h.mutex.Unlock()
 	h.advance(covered.Kind, covered.To.Sequence)
 }
 
-func (h *history) freshen(at time.Duration, stale bool) {
+// addFreshness records that the subscriber became stale or fresh at a time since the start of the run.
+func (h *history) addFreshness(at time.Duration, stale bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.fresh = append(h.fresh, freshness{at, stale})
+	h.freshnessChanges = append(h.freshnessChanges, freshnessChange{at, stale})
 }
 
-// isFresh tells whether the subscriber was last told that its knowledge is fresh.
+// isFresh reports whether the subscriber's latest freshness event was fresh.
 func (h *history) isFresh() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return len(h.fresh) > 0 && !h.fresh[len(h.fresh)-1].Stale
+	return len(h.freshnessChanges) > 0 && !h.freshnessChanges[len(h.freshnessChanges)-1].Stale
 }
 
-// reached tells whether the subscriber has come to a sequence of each kind.
+// reached reports whether the subscriber has reached the given sequence of each kind.
 func (h *history) reached(sequences [kinds]uint64) bool {
 	for kind, sequence := range sequences {
 		if h.heads[kind].Load() < sequence {
@@ -90,8 +94,8 @@
 	return true
 }
 
-// bytes is the memory that the history itself holds.
-func (h *history) bytes() int {
+// memoryBytes returns the approximate memory used by the history, in bytes.
+func (h *history) memoryBytes() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return cap(h.applied) * int(unsafe.Sizeof(appliedChange{}))
--- a/internal/feed/feedscale/ledger.go
+++ b/internal/feed/feedscale/ledger.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// position is a place in the order of a kind's changes, as the feed names it.
+// position is a position in the feed's order of the changes of a kind.
 type position struct {
 	Epoch    uint64
 	Sequence uint64
 }
 
+// compare returns -1, 0 or +1 if p is before, equal to or after q.
 func (p position) compare(q position) int {
 	if byEpoch := cmp.Compare(p.Epoch, q.Epoch); byEpoch != 0 {
 		return byEpoch
@@ -20,28 +21,30 @@
 	return cmp.Compare(p.Sequence, q.Sequence)
 }
 
-// publishedChange is an attempt to publish a planned change.
-type publishedChange struct {
+// publishAttempt is an attempt to publish a planned change.
+type publishAttempt struct {
 	Identity     uint64
 	Key          string
 	Due, Done    time.Duration // since the run began
-	Position     position      // of an acknowledged one
-	Acknowledged bool          // otherwise the attempt failed, and the change may or may not have been published
+	Position     position      // zero unless acknowledged
+	Acknowledged bool          // if false, the change may or may not have been published
 }
 
-// ledger keeps what was published, by kind and in the order of publishing.
+// ledger records the attempts to publish, by kind and in order. It is safe for concurrent use through its methods.
 type ledger struct {
 	mutex   sync.Mutex
-	changes [kinds][]publishedChange
+	changes [kinds][]publishAttempt
 }
 
-func (l *ledger) add(kind Kind, change publishedChange) {
+// add records an attempt to publish a change of a kind.
+func (l *ledger) add(kind Kind, change publishAttempt) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.changes[kind] = append(l.changes[kind], change)
 }
 
-// head is the position of the last change of a kind that had been acknowledged at a time since the run began.
+// head returns the position of the last change of a kind that was acknowledged by a time since the start of the run, or the
+// zero position if there is none.
 func (l *ledger) head(kind Kind, at time.Duration) position {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -53,7 +56,7 @@
 	return position{}
 }
 
-// counts are the numbers of acknowledged and of failed attempts of a kind.
+// counts returns the numbers of acknowledged and failed attempts of a kind.
 func (l *ledger) counts(kind Kind) (acknowledged, failed int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -65,8 +68,8 @@
 	return acknowledged, len(l.changes[kind]) - acknowledged
 }
 
-// published is a copy of what was published of a kind.
-func (l *ledger) published(kind Kind) []publishedChange {
+// published returns a copy of the attempts of a kind.
+func (l *ledger) published(kind Kind) []publishAttempt {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Clone(l.changes[kind])
--- a/internal/feed/feedscale/measures.go
+++ b/internal/feed/feedscale/measures.go
@@ -9,61 +9,63 @@
 	"larchthread/internal/feed"
 )
 
-// subscriberResult measures one subscriber over the time of the workload.
-func (f *fleet) subscriberResult(w window) SubscriberResult {
+// subscriberResult computes the mean and peak cost of a subscriber over the workload.
+func (f *fleet) subscriberResult(m measurement) SubscriberResult {
 	var result SubscriberResult
 	var received, sent traffic
 	for _, subscriber := range f.subscribers {
-		received.add(subscriber.received.total(w.from, w.to))
-		sent.add(subscriber.sent.total(w.from, w.to))
-		greatest := subscriber.received.greatestSecond(w.from, w.settled)
+		received.add(subscriber.received.total(m.from, m.to))
+		sent.add(subscriber.sent.total(m.from, m.to))
+		greatest := subscriber.received.peakSecond(m.from, m.settled)
 		result.MaxBytesInSecond = max(result.MaxBytesInSecond, greatest.Bytes)
 		result.MaxSegmentsInSecond = max(result.MaxSegmentsInSecond, greatest.Segments)
 	}
 	subscribers := float64(len(f.subscribers))
-	each := subscribers * (w.to - w.from).Seconds()
-	result.BytesPerSecond = float64(received.Bytes) / each
-	result.SentBytesPerSecond = float64(sent.Bytes) / each
-	result.SegmentsPerSecond = float64(received.Segments+sent.Segments) / each
-	result.MessagesPerSecond = float64(w.counted.MessagesReceived) / each
-	result.CPU = w.processor.Seconds() / each
-	result.Memory = (w.memory - f.historyBytes()) / len(f.subscribers)
+	subscriberSeconds := subscribers * (m.to - m.from).Seconds()
+	result.BytesPerSecond = float64(received.Bytes) / subscriberSeconds
+	result.SentBytesPerSecond = float64(sent.Bytes) / subscriberSeconds
+	result.SegmentsPerSecond = float64(received.Segments+sent.Segments) / subscriberSeconds
+	result.MessagesPerSecond = float64(m.messages.MessagesReceived) / subscriberSeconds
+	result.CPU = m.cpuTime.Seconds() / subscriberSeconds
+	result.Memory = (m.memory - f.historyBytes()) / len(f.subscribers)
 	return result
 }
 
+// add adds another amount of traffic.
 func (t *traffic) add(other traffic) {
 	t.Bytes += other.Bytes
 	t.Segments += other.Segments
 }
 
-// historyBytes is the memory of what is measured, which no real subscriber keeps.
+// historyBytes returns the memory of all histories, in bytes. A real subscriber has none.
 func (f *fleet) historyBytes() (sum int) {
 	for _, subscriber := range f.subscribers {
-		sum += subscriber.history.bytes()
+		sum += subscriber.history.memoryBytes()
 	}
 	return sum
 }
 
-// senderResults measures what the publisher and each relay sent.
-func (f *fleet) senderResults(w window) []SenderResult {
-	length := (w.to - w.from).Seconds()
-	publisher := newMeter(f.began, w.settled)
+// senderResults returns the traffic sent by the publisher, which comes first, and by each relay.
+func (f *fleet) senderResults(m measurement) []SenderResult {
+	length := (m.to - m.from).Seconds()
+	publisher := newMeter(f.startTime, m.settled)
 	for _, meter := range f.publisherSent {
 		publisher.merge(meter)
 	}
-	results := []SenderResult{senderResult("publisher", publisher, w, length)}
+	results := []SenderResult{senderResult("publisher", publisher, m, length)}
 	for i, relay := range f.relays {
-		results = append(results, senderResult(fmt.Sprintf("relay %d", i), relay.sent, w, length))
+		results = append(results, senderResult(fmt.Sprintf("relay %d", i), relay.sent, m, length))
 	}
 	return results
 }
 
-func senderResult(name string, sent *meter, w window, length float64) SenderResult {
-	return SenderResult{Name: name, BytesPerSecond: float64(sent.total(w.from, w.to).Bytes) / length,
-		MaxBytesInSecond: sent.greatestSecond(w.from, w.settled).Bytes, Limit: feed.DefaultTotalBytesPerSecond}
+// senderResult returns the traffic of one sender over a workload of the given length in seconds.
+func senderResult(name string, sent *meter, m measurement, length float64) SenderResult {
+	return SenderResult{Name: name, BytesPerSecond: float64(sent.total(m.from, m.to).Bytes) / length,
+		MaxBytesInSecond: sent.peakSecond(m.from, m.settled).Bytes, Limit: feed.DefaultTotalBytesPerSecond}
 }
 
-// merge adds what another meter has counted.
+// merge adds the counts of another meter of the same length.
 func (m *meter) merge(other *meter) {
 	for i := range m.slices {
 		m.slices[i].bytes.Add(other.slices[i].bytes.Load())
@@ -71,16 +73,16 @@
 	}
 }
 
-// processResults measures the processes of publisher and relays, the busiest first. One that was restarted counts from its
-// restart, one that was killed not at all.
-func processResults(w window) (results []ProcessResult) {
-	length := (w.to - w.from).Seconds()
-	for name, after := range w.control {
-		used := after.Processor
-		if before, known := w.controlBefore[name]; known {
-			used -= before.Processor
+// processResults returns the usage of the publisher's and relays' processes, sorted by CPU use, highest first. A restarted
+// process counts from its restart; a killed one is missing.
+func processResults(m measurement) (results []ProcessResult) {
+	length := (m.to - m.from).Seconds()
+	for name, after := range m.usageAfter {
+		used := after.CPUTime
+		if before, known := m.usageBefore[name]; known {
+			used -= before.CPUTime
 		}
-		results = append(results, ProcessResult{name, used.Seconds() / length, after.Resident})
+		results = append(results, ProcessResult{name, used.Seconds() / length, after.MaxResidentBytes})
 	}
 	slices.SortFunc(results, func(x, y ProcessResult) int {
 		return cmp.Or(cmp.Compare(y.CPU, x.CPU), cmp.Compare(x.Name, y.Name))
@@ -88,35 +90,38 @@
 	return results
 }
 
-// faultLead is how long before a fault a change may have been due that the fault still met on its way.
+// faultLead is how long before a fault a change may be due and still be affected by the fault.
 const faultLead = time.Second
 
-func (f *fleet) faultResult(r *Result, w window, mark faultMark) FaultResult {
-	result := FaultResult{Text: mark.Text, From: mark.From - r.From, To: mark.To - r.From}
-	result.PropagationLatency, result.Partial = r.spreads.everywhere(Purges, r.Subscriber.Counted, mark.From-faultLead, mark.To+faultWindow)
+// faultResult computes the effect of an injected fault on purges, freshness and recovery.
+func (f *fleet) faultResult(r *Result, m measurement, fault injectedFault) FaultResult {
+	result := FaultResult{Text: fault.Text, From: fault.From - r.From, To: fault.To - r.From}
+	result.PropagationLatency, result.Partial = r.propagations.latency(Purges, r.Subscriber.Counted,
+		fault.From-faultLead, fault.To+recoveryWindow)
 	recovered := newLatencyHistogram()
 	for i, subscriber := range f.subscribers {
-		if mark.Isolating && !f.placement.inCutRegion(i) {
+		if fault.CutRegionOnly && !f.placement.inCutRegion(i) {
 			continue
 		}
-		at, reached := subscriber.history.reachedAt(mark.Heads)
+		at, reached := subscriber.history.reachedAt(fault.Heads)
 		if !reached {
 			result.NotRecovered++
 		} else {
-			recovered.add(at - mark.To)
+			recovered.add(at - fault.To)
 		}
-		lastStale, lastFresh := subscriber.history.staleness(mark.From, w.settled)
+		lastStale, lastFresh := subscriber.history.staleness(fault.From, m.settled)
 		if lastStale > 0 {
 			result.StaleSubscribers++
-			result.LastStale = max(result.LastStale, lastStale-mark.From)
-			result.LastFresh = max(result.LastFresh, lastFresh-mark.To)
+			result.LastStale = max(result.LastStale, lastStale-fault.From)
+			result.LastFresh = max(result.LastFresh, lastFresh-fault.To)
 		}
 	}
-	result.Recovered = recovered.sum()
+	result.Recovered = recovered.summary()
 	return result
 }
 
-// reachedAt is when the subscriber had come to a position of each kind.
+// reachedAt returns when the subscriber had reached the given position of each kind, since the start of the run. It returns
+// false if the subscriber never did.
 func (h *history) reachedAt(heads [kinds]position) (at time.Duration, reached bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -142,11 +147,11 @@
 	return at, true
 }
 
-// staleness is when the subscriber's knowledge last became stale between two times, and when it last became fresh.
+// staleness returns when the subscriber last became stale and last became fresh between two times; 0 means never.
 func (h *history) staleness(from, to time.Duration) (lastStale, lastFresh time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, change := range h.fresh {
+	for _, change := range h.freshnessChanges {
 		switch {
 		case change.At < from || change.At > to:
 		case change.Stale:
@@ -158,17 +163,17 @@
 	return lastStale, lastFresh
 }
 
-// secondResults measures each second of the workload.
+// secondResults computes the latencies and received bytes for each second of the workload.
 func (f *fleet) secondResults(r *Result) []secondResult {
 	results := make([]secondResult, int((r.To-r.From+time.Second-1)/time.Second))
 	for i := range results {
 		from := r.From + time.Duration(i)*time.Second
-		purges, _ := r.spreads.everywhere(Purges, r.Subscriber.Counted, from, from+time.Second)
+		purges, _ := r.propagations.latency(Purges, r.Subscriber.Counted, from, from+time.Second)
 		results[i].median, results[i].worst = purges.P50, purges.Worst
 		for _, subscriber := range f.subscribers {
 			bytes := float64(subscriber.received.total(from, from+time.Second).Bytes)
 			results[i].meanBytes += bytes / float64(len(f.subscribers))
-			results[i].greatestBytes = max(results[i].greatestBytes, bytes)
+			results[i].maxBytes = max(results[i].maxBytes, bytes)
 		}
 	}
 	return results
--- a/internal/feed/feedscale/measures_test.go
+++ b/internal/feed/feedscale/measures_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// TestGreatestSecondSpansSlices has a second count from any slice on, not from whole seconds alone.
-func TestGreatestSecondSpansSlices(t *testing.T) {
+// TestPeakSecondSpansSlices checks that a peak second may start at any slice, not just at a whole second.
+func TestPeakSecondSpansSlices(t *testing.T) {
 	const length = 4 * time.Second
 	meter := newMeter(time.Now(), length)
 	for slice, bytes := range map[int]uint32{8: 100, 12: 50, 17: 30, 18: 70, 30: 200} {
 		meter.slices[slice].bytes.Store(bytes)
 		meter.slices[slice].segments.Store(1)
 	}
-	if most := meter.greatestSecond(0, length); most != (traffic{Bytes: 200, Segments: 3}) {
-		t.Errorf("in all: %+v", most)
+	if most := meter.peakSecond(0, length); most != (traffic{Bytes: 200, Segments: 3}) {
+		t.Errorf("peak over the whole time: %+v", most)
 	}
-	if most := meter.greatestSecond(0, 2*time.Second); most != (traffic{Bytes: 180, Segments: 3}) {
-		t.Errorf("in the first two seconds: %+v", most)
+	if most := meter.peakSecond(0, 2*time.Second); most != (traffic{Bytes: 180, Segments: 3}) {
+		t.Errorf("peak in the first two seconds: %+v", most)
 	}
 	if sum := meter.total(time.Second, 2*time.Second); sum != (traffic{Bytes: 150, Segments: 3}) {
-		t.Errorf("in the second one: %+v", sum)
+		t.Errorf("total in the second second: %+v", sum)
 	}
 }
 
-// TestPlacement has the region that is cut hold one relay and as many subscribers as asked for, and every subscriber prefer
-// the relays of its own region.
+// TestPlacement checks that cutRegion has one relay and the requested number of subscribers, and that every subscriber
+// prefers the relays of its own region.
 func TestPlacement(t *testing.T) {
 	const cutSize = 120
 	place := newPlacement(Options{Subscribers: DefaultSubscribers, Relays: DefaultRelays, Regions: DefaultRegions, CutSize: cutSize})
@@ -43,11 +43,11 @@
 		}
 	}
 	if relays[cutRegion] != 1 || subscribers[cutRegion] != cutSize {
-		t.Errorf("%d relays and %d subscribers in the region that is cut", relays[cutRegion], subscribers[cutRegion])
+		t.Errorf("%d relays and %d subscribers in the region to cut off", relays[cutRegion], subscribers[cutRegion])
 	}
 }
 
-// TestReachedAt takes the first event that brought a subscriber to each kind's position.
+// TestReachedAt checks that the first event that reaches each kind's position counts.
 func TestReachedAt(t *testing.T) {
 	history := &history{}
 	history.apply(appliedChange{At: 10, Sequence: 4, Epoch: 1, Kind: Settings})
@@ -65,23 +65,23 @@
 		}
 	}
 	if _, reached := history.reachedAt([kinds]position{}); !reached {
-		t.Error("nothing published was not reached")
+		t.Error("not reached although nothing was published")
 	}
 }
 
-// TestWorkloadIsSeeded has the same seed give the same workload, and its identities be read back.
+// TestWorkloadIsSeeded checks that equal seeds give equal workloads, and that identities can be extracted from changes.
 func TestWorkloadIsSeeded(t *testing.T) {
 	for kind := range kinds {
-		options := smallFleet()
+		options := smallFleetOptions()
 		first, second := planWorkload(options, kind), planWorkload(options, kind)
 		options.Seed++
 		other := planWorkload(options, kind)
 		if len(first) != len(second) || first[0] != second[0] || first[0] == other[0] {
-			t.Errorf("%v: %+v, %+v and, by another seed, %+v", kind, first[0], second[0], other[0])
+			t.Errorf("%v: %+v, %+v and, with another seed, %+v", kind, first[0], second[0], other[0])
 		}
 		for _, change := range first {
 			if identity, ok := identityOf(kind, change.key(), []byte(change.Value)); !ok || identity != change.Identity {
-				t.Errorf("%v: read %x back as %x", kind, change.Identity, identity)
+				t.Errorf("%v: identity %x extracted as %x", kind, change.Identity, identity)
 			}
 		}
 	}
--- a/internal/feed/feedscale/options.go
+++ b/internal/feed/feedscale/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The size to design for.
+// Defaults for Options: the scale that the change feed is designed for.
 const (
 	DefaultSubscribers       = 1700
 	DefaultRelays            = 18
@@ -16,14 +16,14 @@
 	DefaultSettingBytes      = 100
 )
 
-// What control may cost a balancer.
+// The resources that the change feed may use at a balancer.
 const (
 	BytesPerSecondBudget = 3000
 	CPUBudget            = 0.023 // of a core
 	MemoryBudget         = 128 << 20
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
 	Subscribers, Relays, Regions int
 	PurgesPerSecond              float64
@@ -31,48 +31,48 @@
 	SettingBytes                 int
 	Duration                     time.Duration // of the workload
 	Seed                         uint64
-	Program                      string   // the program to start the publisher and relays from; empty: in this process
-	Environment                  []string // more for its processes
-	Directory                    string   // for the publisher's log and the configuration of processes
+	Program                      string   // to run the publisher and relays as separate processes; empty: in the calling process
+	Environment                  []string // additional variables for those processes, as KEY=VALUE
+	Directory                    string   // parent of the run's temporary directory; empty: the system's default
 
-	KillRelays   int           // relays killed in mid-run: their connections end at once
-	FreezeRelays int           // relays that fall silent in mid-run, as a machine does that fails: their connections stay
-	CutSize      int           // subscribers of the region that is cut off; 0: none is
-	CutDuration  time.Duration // for how long
-	RestartAll   bool          // publisher and relays are killed at once, and started again
+	KillRelays   int           // relays to kill during the run, which closes their connections
+	FreezeRelays int           // relays to suspend during the run, like a failed machine: their connections stay open
+	CutSize      int           // subscribers in the region to cut off; 0: none is cut off
+	CutDuration  time.Duration // how long the region is cut off
+	RestartAll   bool          // whether to kill and restart the publisher and all relays
 }
 
-// validate tells what makes the options unusable.
+// validate returns an error that describes the first problem with the options.
 func (o Options) validate() error {
 	switch {
 	case o.Subscribers < 1 || o.Relays < 1 || o.Regions < 1:
-		return errors.New("want at least one subscriber, relay and region")
+		return errors.New("at least one subscriber, relay and region is needed")
 	case o.Duration <= 0:
-		return errors.New("want a duration")
+		return errors.New("the duration must be positive")
 	case o.PurgesPerSecond < 0 || o.SettingsPerSecond < 0:
-		return errors.New("want rates that are not negative")
+		return errors.New("rates must not be negative")
 	case o.SettingBytes < identityDigits:
-		return fmt.Errorf("want settings of at least %d bytes", identityDigits)
+		return fmt.Errorf("settings must have at least %d bytes", identityDigits)
 	case o.KillRelays < 0 || o.FreezeRelays < 0 || o.KillRelays+o.FreezeRelays >= o.Relays:
-		return fmt.Errorf("want to kill and freeze fewer relays than the %d there are", o.Relays)
+		return fmt.Errorf("the number of relays to kill and freeze must be less than the %d of the fleet", o.Relays)
 	case o.FreezeRelays > 0 && o.Program == "":
-		return errOneProcess
+		return errRelayNotProcess
 	case o.CutSize < 0 || o.CutSize > o.Subscribers:
-		return fmt.Errorf("want to cut off at most the %d subscribers there are", o.Subscribers)
+		return fmt.Errorf("the number of subscribers to cut off must be between 0 and the %d of the fleet", o.Subscribers)
 	case o.CutSize > 0 && (o.CutDuration <= 0 || min(o.Regions, o.Relays) < 2):
-		return errors.New("a cut needs a duration and two regions with a relay each")
-	case o.CutSize > 0 && o.faultAt()+o.CutDuration >= o.Duration:
-		return errors.New("want a workload that goes on after the cut")
+		return errors.New("cutting off a region needs a positive duration and two regions with a relay each")
+	case o.CutSize > 0 && o.faultTime()+o.CutDuration >= o.Duration:
+		return errors.New("the workload must last longer than the cut")
 	}
 	return nil
 }
 
 const (
-	faultPart   = 3                // faults come after one part in so many of the workload
-	latestFault = 10 * time.Second // or at this time, if that is earlier
+	faultFraction   = 3                // faults begin after this fraction (1/3) of the workload
+	latestFaultTime = 10 * time.Second // or at this time, if earlier
 )
 
-// faultAt is when faults begin.
-func (o Options) faultAt() time.Duration {
-	return min(o.Duration/faultPart, latestFault)
+// faultTime returns when the faults begin, since the start of the workload.
+func (o Options) faultTime() time.Duration {
+	return min(o.Duration/faultFraction, latestFaultTime)
 }
--- a/internal/feed/feedscale/partition.go
+++ b/internal/feed/feedscale/partition.go
@@ -7,13 +7,15 @@
 	"syscall"
 )
 
-// partition separates a region from all others while it is on. Data that would cross it is lost, attempts to connect time
-// out, and connections across it are reset once it has ended.
+// partition simulates a network partition between a region and all others. While it is active, data across it is dropped
+// and connection attempts hang. Once healed, those attempts fail with ETIMEDOUT and connections that lost data with
+// ECONNRESET.
 type partition struct {
 	mutex  sync.Mutex
-	healed chan struct{} // closed at the end of the partition; nil while there is none
+	healed chan struct{} // closed when the partition heals; nil while it is inactive
 }
 
+// begin activates the partition. It has no effect if it is active already.
 func (p *partition) begin() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -22,6 +24,7 @@
 	}
 }
 
+// heal ends the partition. It has no effect if it is inactive.
 func (p *partition) heal() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -31,20 +34,20 @@
 	}
 }
 
-// until is closed at the end of the partition; it is nil where there is none.
-func (p *partition) until() <-chan struct{} {
+// healSignal returns a channel that is closed when the partition heals, or nil if it is inactive.
+func (p *partition) healSignal() <-chan struct{} {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.healed
 }
 
-// dial connects across the partition.
+// dial connects to an address across the partition.
 func (p *partition) dial(ctx context.Context, address string) (net.Conn, error) {
-	if healed := p.until(); healed != nil {
+	if healed := p.healSignal(); healed != nil {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-healed: // what was sent to connect is lost all the same
+		case <-healed: // the packets of this attempt were dropped
 			return nil, syscall.ETIMEDOUT
 		}
 	}
@@ -53,62 +56,66 @@
 	if err != nil {
 		return nil, err
 	}
-	return &crossingConn{Conn: conn, partition: p, closed: make(chan struct{})}, nil
+	return &partitionedConn{Conn: conn, partition: p, closed: make(chan struct{})}, nil
 }
 
-// crossingConn is a connection between the region and another.
-type crossingConn struct {
+// partitionedConn is a connection across a partition.
+type partitionedConn struct {
 	net.Conn
 	partition *partition
 	close     sync.Once
 	closed    chan struct{}
 
-	mutex sync.Mutex
-	lossy bool // data was lost on it
+	mutex    sync.Mutex
+	dataLost bool // data was dropped on this connection
 }
 
-// Read waits out a partition and then ends the connection, since what came meanwhile is lost.
-func (c *crossingConn) Read(buffer []byte) (int, error) {
+// Read reads from the connection. If the partition is active, it blocks until the partition heals or the connection is
+// closed. It returns ECONNRESET once data was dropped.
+func (c *partitionedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
-	if healed := c.partition.until(); healed != nil {
-		c.lose()
+	if healed := c.partition.healSignal(); healed != nil {
+		c.markDataLost()
 		select {
 		case <-healed:
 		case <-c.closed:
 		}
 	}
-	if c.lost() {
+	if c.hasDataLoss() {
 		return 0, syscall.ECONNRESET
 	}
 	return n, err
 }
 
-// Write loses data during a partition.
-func (c *crossingConn) Write(data []byte) (int, error) {
-	if c.partition.until() != nil {
-		c.lose()
+// Write writes to the connection. It drops the data and reports success while the partition is active, and returns
+// ECONNRESET after that.
+func (c *partitionedConn) Write(data []byte) (int, error) {
+	if c.partition.healSignal() != nil {
+		c.markDataLost()
 		return len(data), nil
 	}
-	if c.lost() {
+	if c.hasDataLoss() {
 		return 0, syscall.ECONNRESET
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *crossingConn) lose() {
+// markDataLost records that data was dropped.
+func (c *partitionedConn) markDataLost() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lossy = true
+	c.dataLost = true
 }
 
-func (c *crossingConn) lost() bool {
+// hasDataLoss reports whether data was dropped.
+func (c *partitionedConn) hasDataLoss() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.lossy
+	return c.dataLost
 }
 
-// Close closes the connection.
-func (c *crossingConn) Close() error {
+// Close closes the connection and unblocks Read.
+func (c *partitionedConn) Close() error {
 	c.close.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/feed/feedscale/placement.go
+++ b/internal/feed/feedscale/placement.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// otherParents is the number of relays outside its own region that a subscriber may fall back to.
-const otherParents = 3
+// fallbackParents is the number of relays in other regions that a subscriber can fall back to.
+const fallbackParents = 3
 
-// cutRegion is the region that a cut separates from all others.
+// cutRegion is the region that the partition cuts off.
 const cutRegion = 0
 
-// placement tells in which region each relay and each subscriber stands, and which relays a subscriber may follow.
+// placement assigns relays and subscribers to regions, and relays to subscribers.
 type placement struct {
 	regions           int
 	relayRegions      []int   // by relay
@@ -16,8 +16,8 @@
 	parents           [][]int // relays by subscriber, in order of preference
 }
 
-// newPlacement spreads relays and subscribers over the regions. A positive cutSize is the number of subscribers in the
-// region that will be cut; the others share what is left.
+// newPlacement spreads relays and subscribers evenly over the regions. If Options.CutSize is positive, cutRegion has that
+// many subscribers, and the other regions share the rest.
 func newPlacement(options Options) placement {
 	place := placement{regions: min(options.Regions, options.Relays)}
 	for relay := range options.Relays {
@@ -26,14 +26,14 @@
 	for subscriber := range options.Subscribers {
 		place.subscriberRegions = append(place.subscriberRegions, place.regionOfSubscriber(subscriber, options.CutSize))
 	}
-	random := rand.New(rand.NewPCG(options.Seed, seedOfPlacement))
+	random := rand.New(rand.NewPCG(options.Seed, placementStream))
 	for subscriber := range options.Subscribers {
-		place.parents = append(place.parents, place.choose(subscriber, random))
+		place.parents = append(place.parents, place.chooseParents(subscriber, random))
 	}
 	return place
 }
 
-// regionOfRelay gives each region one relay, and second ones to regions other than the one that may be cut.
+// regionOfRelay returns the region of a relay. Each region gets one, and additional ones go to regions other than cutRegion.
 func (p placement) regionOfRelay(relay int) int {
 	if relay < p.regions || p.regions == 1 {
 		return relay % p.regions
@@ -41,6 +41,7 @@
 	return 1 + (relay-p.regions)%(p.regions-1)
 }
 
+// regionOfSubscriber returns the region of a subscriber, given the number of subscribers in cutRegion (0: an equal share).
 func (p placement) regionOfSubscriber(subscriber, cutSize int) int {
 	switch {
 	case cutSize == 0 || p.regions == 1:
@@ -52,8 +53,9 @@
 	}
 }
 
-// choose lists the relays of the subscriber's own region in drawn order, and then some of other regions.
-func (p placement) choose(subscriber int, random *rand.Rand) []int {
+// chooseParents returns the relays of the subscriber's own region and then fallbackParents ones of other regions, both in
+// random order.
+func (p placement) chooseParents(subscriber int, random *rand.Rand) []int {
 	var own, others []int
 	for _, relay := range random.Perm(len(p.relayRegions)) {
 		if p.relayRegions[relay] == p.subscriberRegions[subscriber] {
@@ -62,10 +64,10 @@
 			others = append(others, relay)
 		}
 	}
-	return append(own, others[:min(otherParents, len(others))]...)
+	return append(own, others[:min(fallbackParents, len(others))]...)
 }
 
-// inCutRegion tells whether a subscriber stands in the region that may be cut.
+// inCutRegion reports whether a subscriber is in cutRegion.
 func (p placement) inCutRegion(subscriber int) bool {
 	return p.subscriberRegions[subscriber] == cutRegion
 }
--- a/internal/feed/feedscale/publishing.go
+++ b/internal/feed/feedscale/publishing.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// publishTimeout is how long an attempt to publish may take.
+// publishTimeout bounds an attempt to publish a change.
 const publishTimeout = 5 * time.Second
 
-// publishWorkload publishes the changes of each kind at their due times, one after another.
+// publishWorkload publishes the workload, which begins at a time since the start of the run. The kinds are published
+// concurrently, the changes of a kind one after another. It returns when all are done or ctx ends.
 func (f *fleet) publishWorkload(ctx context.Context, start time.Duration) {
 	var publishers sync.WaitGroup
 	for kind := range kinds {
@@ -19,23 +20,24 @@
 	publishers.Wait()
 }
 
+// publishPlan publishes each change of a plan when it is due, or later if the one before takes longer.
 func (f *fleet) publishPlan(ctx context.Context, start time.Duration, plan []plannedChange) {
 	for _, change := range plan {
 		due := start + change.Due
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(due - time.Since(f.began)):
+		case <-time.After(due - time.Since(f.startTime)):
 		}
 		f.publish(ctx, due, change)
 	}
 }
 
-// publish makes one attempt. What came of a failed one is not known; the workload goes on with the next change.
+// publish makes one attempt to publish a change and records it. A failed attempt is not retried.
 func (f *fleet) publish(ctx context.Context, due time.Duration, change plannedChange) {
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	at, err := f.control.publish(ctx, change)
-	f.ledger.add(change.Kind, publishedChange{Identity: change.Identity, Key: change.Name, Due: due,
-		Done: time.Since(f.began), Position: at, Acknowledged: err == nil})
+	f.ledger.add(change.Kind, publishAttempt{Identity: change.Identity, Key: change.Name, Due: due,
+		Done: time.Since(f.startTime), Position: at, Acknowledged: err == nil})
 }
--- a/internal/feed/feedscale/report.go
+++ b/internal/feed/feedscale/report.go
@@ -21,29 +21,30 @@
 	shade = drawing.ColorFromHex("d0a060").WithAlpha(0x50)
 )
 
-// line is a line of a plot.
+// line is one data series of a plot.
 type line struct {
 	name  string
 	color drawing.Color
 	x, y  []float64
 }
 
+// add adds a point.
 func (l *line) add(x, y float64) {
 	l.x = append(l.x, x)
 	l.y = append(l.y, y)
 }
 
-// plot is a picture of lines, with faults as shades behind them.
+// plot is a chart of lines, with the times of faults shaded.
 type plot struct {
 	title, xName string
 	lines        []*line
-	shades       []FaultResult
+	faults       []FaultResult
 }
 
-// HTML writes the report: one file with everything in it.
+// HTML writes the report as a self-contained HTML page.
 func (r *Result) HTML(w io.Writer) error {
 	var pictures []template.HTML
-	for _, plot := range []plot{r.spreadPlot(), r.latencyPlot(), r.bytesPlot()} {
+	for _, plot := range []plot{r.propagationPlot(), r.latencyPlot(), r.bytesPlot()} {
 		picture, err := plot.render()
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
@@ -55,30 +56,32 @@
 	return page.Execute(w, reportPage{r.Options.Subscribers, r.Options.Relays, pictures, table.String()})
 }
 
-// reportPage is what the page shows.
+// reportPage is the data of the page's template.
 type reportPage struct {
 	Subscribers, Relays int
 	Pictures            []template.HTML
 	Table               string
 }
 
-// spreadPlot shows which part of the fleet has a change so long after it was due.
-func (r *Result) spreadPlot() plot {
-	every := &line{name: "all changes", color: blue}
+// propagationPlot plots the percentage of subscribers that have applied a change over the time since it was due.
+func (r *Result) propagationPlot() plot {
+	allChanges := &line{name: "all changes", color: blue}
 	sum, total := 0, max(r.DeliveryLatency.Count, 1)
-	for i, number := range r.spreads.buckets[:spreadStepCount] {
-		every.add(float64(i)*seconds(spreadStep), 100*float64(sum)/float64(total))
+	for i, number := range r.propagations.buckets[:bucketCount] {
+		allChanges.add(float64(i)*seconds(bucketWidth), 100*float64(sum)/float64(total))
 		sum += number
 		if sum == total {
-			every.add(float64(i+1)*seconds(spreadStep), 100)
+			allChanges.add(float64(i+1)*seconds(bucketWidth), 100)
 			break
 		}
 	}
-	lines := []*line{every, r.changeLine("the median change", green, r.median), r.changeLine("the slowest change", red, r.worst)}
-	return plot{title: "how a change spreads: % of subscribers that have it", xName: "s since it was due", lines: lines}
+	lines := []*line{allChanges, r.changeLine("the median change", green, r.median),
+		r.changeLine("the slowest change", red, r.worst)}
+	return plot{title: "propagation of a change: % of subscribers that have applied it", xName: "s since it was due", lines: lines}
 }
 
-func (r *Result) changeLine(name string, color drawing.Color, spread spread) *line {
+// changeLine returns a line of steps for the propagation of one change.
+func (r *Result) changeLine(name string, color drawing.Color, spread propagation) *line {
 	drawn := &line{name: fmt.Sprintf("%s (%s, due at %.1f s)", name, spread.kind, seconds(spread.change.Due-r.From)), color: color}
 	reached := 0.0
 	drawn.add(0, reached)
@@ -90,31 +93,32 @@
 	return drawn
 }
 
-// latencyPlot shows how long purges took to reach everybody over the time of the run.
+// latencyPlot plots how long purges took to reach all subscribers, over the time of the workload.
 func (r *Result) latencyPlot() plot {
 	median, worst := &line{name: "median", color: blue}, &line{name: "slowest", color: red}
 	for i, second := range r.seconds {
 		median.add(float64(i)+0.5, float64(second.median.Milliseconds()))
 		worst.add(float64(i)+0.5, float64(second.worst.Milliseconds()))
 	}
-	return plot{title: "until a purge is applied everywhere, ms, by the second in which it was due", xName: "s",
-		lines: []*line{median, worst}, shades: r.Faults}
+	return plot{title: "time until a purge is applied by all subscribers, ms, by the second in which it was due", xName: "s",
+		lines: []*line{median, worst}, faults: r.Faults}
 }
 
-// bytesPlot shows what subscribers received.
+// bytesPlot plots the bytes that subscribers received in each second of the workload.
 func (r *Result) bytesPlot() plot {
 	mean, greatest := &line{name: "mean", color: blue}, &line{name: "greatest", color: red}
 	for i, second := range r.seconds {
 		mean.add(float64(i)+0.5, second.meanBytes)
-		greatest.add(float64(i)+0.5, second.greatestBytes)
+		greatest.add(float64(i)+0.5, second.maxBytes)
 	}
-	return plot{title: fmt.Sprintf("bytes a second to one subscriber, of %d", BytesPerSecondBudget), xName: "s",
-		lines: []*line{mean, greatest}, shades: r.Faults}
+	return plot{title: fmt.Sprintf("bytes per second to one subscriber, of a budget of %d", BytesPerSecondBudget), xName: "s",
+		lines: []*line{mean, greatest}, faults: r.Faults}
 }
 
+// seconds returns a duration in seconds.
 func seconds(length time.Duration) float64 { return length.Seconds() }
 
-// render draws the plot, with a legend below.
+// render returns the plot as SVG with a legend below it.
 func (p plot) render() (template.HTML, error) {
 	var picture bytes.Buffer
 	if err := p.chart().Render(chart.SVG, &picture); err != nil {
@@ -128,13 +132,14 @@
 	return template.HTML(picture.String() + "<br>" + strings.Join(legend, ", ")), nil
 }
 
+// chart converts the plot for the chart library.
 func (p plot) chart() chart.Chart {
 	right, top := p.extent()
 	drawn := chart.Chart{Title: p.title, TitleStyle: chart.Style{FontSize: 11}, Width: plotWidth, Height: plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: 40, Left: 10, Right: 10, Bottom: 10}},
 		XAxis:      chart.XAxis{Name: p.xName, Range: &chart.ContinuousRange{Min: 0, Max: right}},
 		YAxis:      chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: top}}}
-	for _, fault := range p.shades {
+	for _, fault := range p.faults {
 		from, to := seconds(fault.From), max(seconds(fault.To), seconds(fault.From)+right/plotWidth)
 		drawn.Series = append(drawn.Series, chart.ContinuousSeries{XValues: []float64{from, to}, YValues: []float64{top, top},
 			Style: chart.Style{StrokeColor: shade, FillColor: shade}})
@@ -148,10 +153,10 @@
 	return drawn
 }
 
-// topMargin is the room above the highest line.
+// topMargin scales the vertical axis to leave room above the highest line.
 const topMargin = 1.05
 
-// extent is how far the lines reach on both axes.
+// extent returns the upper ends of both axes.
 func (p plot) extent() (right, top float64) {
 	for _, line := range p.lines {
 		for i := range line.x {
@@ -168,9 +173,9 @@
 <html lang="en"><meta charset="utf-8"><title>The change feed at {{.Subscribers}} subscribers</title>
 <style>body{font:14px sans-serif;margin:2em auto;max-width:62em}pre{background:#f4f4f4;padding:1em;overflow:auto}svg{max-width:100%;height:auto}</style>
 <h1>The change feed: {{.Subscribers}} subscribers behind {{.Relays}} relays</h1>
-<p>One machine, over loopback sockets. Subscribers are hollow: they apply changes and carry no traffic. Shades are faults.</p>
+<p>One machine, over loopback sockets. Subscribers apply changes but carry no traffic. Shaded areas are faults.</p>
 {{range .Pictures}}<p>{{.}}</p>
 {{end}}
-<h2>What came of it</h2><pre>{{.Table}}</pre>
+<h2>Results</h2><pre>{{.Table}}</pre>
 </html>
 `))
--- a/internal/feed/feedscale/run.go
+++ b/internal/feed/feedscale/run.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	startLimit  = 90 * time.Second // until all subscribers know everything at the start
-	settleLimit = 30 * time.Second // until all are current after the workload
-	progressing = time.Second
+	startTimeout     = 90 * time.Second // for all subscribers to become fresh at the start
+	settleTimeout    = 30 * time.Second // for all subscribers to become current after the workload
+	progressInterval = time.Second
 )
 
-// Run plays a fleet as the options describe it, and tells how it goes on with a line a second. An error means that the run
-// could not be carried out; what the audit found is in the result.
-func Run(ctx context.Context, options Options, say func(line string)) (*Result, error) {
+// Run runs a fleet as the options describe it. It passes progress lines, about one per second, to progress, which must be
+// safe for concurrent use. An error means that the run could not be completed; violations found by the audit are part of
+// the result.
+func Run(ctx context.Context, options Options, progress func(line string)) (*Result, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
 	}
@@ -25,26 +26,26 @@
 		return nil, err
 	}
 	defer os.RemoveAll(directory)
-	control := newControl(options, directory)
-	length := startLimit + options.Duration + settleLimit
+	control := newControlPlane(options, directory)
+	length := startTimeout + options.Duration + settleTimeout
 	fleet, err := newFleet(options, control, length)
 	if err != nil {
 		return nil, err
 	}
-	result, err := fleet.run(ctx, length, say)
+	result, err := fleet.run(ctx, length, progress)
 	return result, errors.Join(err, fleet.close())
 }
 
-// newControl runs publisher and relays as the options ask for.
-func newControl(options Options, directory string) control {
+// newControlPlane returns the control plane for the options: in the calling process, or in processes of the program.
+func newControlPlane(options Options, directory string) controlPlane {
 	if options.Program == "" {
-		return newLocalControl(directory, options.Seed)
+		return newLocalControlPlane(directory, options.Seed)
 	}
-	return newProcessControl(options, directory)
+	return newProcessControlPlane(options, directory)
 }
 
-// run starts everything, plays the workload and the faults, and sums up what came of it.
-func (f *fleet) run(ctx context.Context, length time.Duration, say func(string)) (*Result, error) {
+// run starts the fleet, runs the workload with the faults and computes the result.
+func (f *fleet) run(ctx context.Context, length time.Duration, progress func(string)) (*Result, error) {
 	if err := f.startControl(length); err != nil {
 		return nil, err
 	}
@@ -52,72 +53,74 @@
 	if err := f.startSubscribers(); err != nil {
 		return nil, err
 	}
-	say(fmt.Sprintf("%d subscribers started", len(f.subscribers)))
-	if err := f.await(ctx, "fresh", f.fresh, startLimit); err != nil {
+	progress(fmt.Sprintf("%d subscribers started", len(f.subscribers)))
+	if err := f.waitForAll(ctx, "fresh", f.countFresh, startTimeout); err != nil {
 		return nil, err
 	}
-	say(fmt.Sprintf("all fresh after %.1f s", time.Since(f.began).Seconds()))
-	window, err := f.playWorkload(ctx, say)
+	progress(fmt.Sprintf("all fresh after %.1f s", time.Since(f.startTime).Seconds()))
+	measured, err := f.runWorkload(ctx, progress)
 	if err != nil {
 		return nil, err
 	}
-	window.memory = memoryInUse() - before
-	return f.result(window), ctx.Err()
+	measured.memory = memoryInUse() - before
+	return f.result(measured), ctx.Err()
 }
 
-// window is the time of the workload, and what was used in it.
-type window struct {
-	from, to      time.Duration // since the run began
-	settled       time.Duration // when all were current again
-	unsettled     error         // why that did not come about
-	marks         []faultMark
-	processor     time.Duration
-	memory        int
-	control       map[string]processUsage // at the end
-	controlBefore map[string]processUsage
-	counted       subscriberCounts
+// measurement holds what was measured over the workload.
+type measurement struct {
+	from, to       time.Duration // of the workload, since the start of the run
+	settled        time.Duration // when waiting for all subscribers to become current ended
+	convergenceErr error         // why not all became current; nil if they did
+	faults         []injectedFault
+	cpuTime        time.Duration           // of the calling process
+	memory         int                     // bytes used by the subscribers, with their histories
+	usageAfter     map[string]processUsage // of the publisher and relays, by process name
+	usageBefore    map[string]processUsage
+	messages       messageCounts
 }
 
-// playWorkload publishes the workload, with the faults beside it.
-func (f *fleet) playWorkload(ctx context.Context, say func(string)) (window, error) {
+// runWorkload publishes the workload, injects the faults concurrently, and waits until all subscribers are current.
+func (f *fleet) runWorkload(ctx context.Context, progress func(string)) (measurement, error) {
 	usageBefore, err := f.control.usage()
 	if err != nil {
-		return window{}, err
+		return measurement{}, err
 	}
-	countedBefore := f.countMessages()
-	processorBefore := processorTime()
-	w := window{from: time.Since(f.began), controlBefore: usageBefore}
+	messagesBefore := f.countMessages()
+	cpuTimeBefore := processCPUTime()
+	m := measurement{from: time.Since(f.startTime), usageBefore: usageBefore}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go f.tellProgress(ctx, w.from, say)
-	struck := make(chan error, 1)
+	go f.reportProgress(ctx, m.from, progress)
+	faultsDone := make(chan error, 1)
 	go func() {
 		var err error
-		w.marks, err = f.strike(ctx, say)
-		struck <- err
+		m.faults, err = f.injectFaults(ctx, progress)
+		faultsDone <- err
 	}()
-	f.publishWorkload(ctx, w.from)
-	if err := <-struck; err != nil {
-		return w, err
+	f.publishWorkload(ctx, m.from)
+	if err := <-faultsDone; err != nil {
+		return m, err
 	}
-	w.to = time.Since(f.began)
-	w.processor = processorTime() - processorBefore
-	w.counted = f.countMessages().minus(countedBefore)
-	if w.control, err = f.control.usage(); err != nil {
-		return w, err
+	m.to = time.Since(f.startTime)
+	m.cpuTime = processCPUTime() - cpuTimeBefore
+	m.messages = f.countMessages().subtract(messagesBefore)
+	if m.usageAfter, err = f.control.usage(); err != nil {
+		return m, err
 	}
-	w.unsettled = f.await(ctx, "current", f.current, settleLimit)
-	w.settled = time.Since(f.began)
-	return w, ctx.Err()
+	m.convergenceErr = f.waitForAll(ctx, "current", f.countCurrent, settleTimeout)
+	m.settled = time.Since(f.startTime)
+	return m, ctx.Err()
 }
 
-// tellProgress says once a second how far the fleet is.
-func (f *fleet) tellProgress(ctx context.Context, start time.Duration, say func(string)) {
-	for sleep(ctx, progressing) {
+// reportProgress reports the state of the fleet once per progressInterval until ctx ends.
+func (f *fleet) reportProgress(ctx context.Context, start time.Duration, progress func(string)) {
+	for sleep(ctx, progressInterval) {
 		settings, failedSettings := f.ledger.counts(Settings)
 		purges, failedPurges := f.ledger.counts(Purges)
-		now := time.Since(f.began)
-		say(fmt.Sprintf("%4.0f s: %d settings and %d purges published, %d failed; of %d subscribers %d have all up to 1 s ago, %d are fresh",
-			(now - start).Seconds(), settings, purges, failedSettings+failedPurges, len(f.subscribers), f.have(now-time.Second), f.fresh()))
+		now := time.Since(f.startTime)
+		progress(fmt.Sprintf(
+			"%4.0f s: %d settings, %d purges published, %d failed; %d subscribers, %d have all up to 1 s ago, %d fresh",
+			(now - start).Seconds(), settings, purges, failedSettings+failedPurges, len(f.subscribers),
+			f.countCaughtUp(now-time.Second), f.countFresh()))
 	}
 }
--- a/internal/feed/feedscale/run_test.go
+++ b/internal/feed/feedscale/run_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// smallFleet is a fleet in this process that publishes some sixty changes.
-func smallFleet() Options {
+// smallFleetOptions returns options for a fleet in the calling process that publishes about sixty changes.
+func smallFleetOptions() Options {
 	return Options{Subscribers: 60, Relays: 3, Regions: 3, PurgesPerSecond: 25, SettingsPerSecond: 5,
 		SettingBytes: DefaultSettingBytes, Duration: 2 * time.Second, Seed: 1}
 }
 
-func play(t *testing.T, options Options) *Result {
+// runFleet runs a fleet, logs its table and fails the test if the run failed.
+func runFleet(t *testing.T, options Options) *Result {
 	t.Helper()
 	options.Directory = t.TempDir()
 	result, err := Run(context.Background(), options, func(line string) { t.Log(line) })
@@ -25,28 +26,29 @@
 	result.Table(&table)
 	t.Log("\n" + table.String())
 	if result.Failed() {
-		t.Errorf("found %v, unsettled: %v", result.Findings, result.ConvergenceError)
+		t.Errorf("findings %v, convergence error: %v", result.Findings, result.ConvergenceError)
 	}
 	return result
 }
 
-// TestNothingLost has every subscriber apply every change over real sockets.
+// TestNothingLost checks that every subscriber applies every change over real sockets.
 func TestNothingLost(t *testing.T) {
 	t.Parallel()
-	options := smallFleet()
-	result := play(t, options)
+	options := smallFleetOptions()
+	result := runFleet(t, options)
 	for kind := range kinds {
-		if of := result.Kinds[kind]; of.PropagationLatency.Count != of.Published || of.Published == 0 || of.Failed > 0 || of.Partial > 0 {
-			t.Errorf("%v: %+v, want all of them everywhere", kind, of)
+		if of := result.Kinds[kind]; of.PropagationLatency.Count != of.Published || of.Published == 0 || of.Failed > 0 ||
+			of.Partial > 0 {
+			t.Errorf("%v: %+v, want all changes applied by all subscribers", kind, of)
 		}
 	}
 	if result.DeliveryLatency.Count != options.Subscribers*(result.Kinds[Settings].Published+result.Kinds[Purges].Published) {
-		t.Errorf("%d applied", result.DeliveryLatency.Count)
+		t.Errorf("%d changes applied over all subscribers", result.DeliveryLatency.Count)
 	}
 	checkReport(t, result)
 }
 
-// checkReport has the report hold the pictures and the table.
+// checkReport checks that the report contains the charts and the table, and refers to no other files.
 func checkReport(t *testing.T, result *Result) {
 	t.Helper()
 	var report bytes.Buffer
@@ -64,44 +66,44 @@
 	}
 }
 
-// TestRelayKilled has subscribers go on with another relay.
+// TestRelayKilled checks that subscribers of a killed relay lose nothing.
 func TestRelayKilled(t *testing.T) {
 	t.Parallel()
-	options := smallFleet()
+	options := smallFleetOptions()
 	options.KillRelays, options.Duration = 1, 3*time.Second
-	if result := play(t, options); len(result.Faults) != 1 {
+	if result := runFleet(t, options); len(result.Faults) != 1 {
 		t.Errorf("faults: %+v", result.Faults)
 	}
 }
 
-// TestRegionCut has a region miss changes for longer than its knowledge may be old, and get them after the heal.
+// TestRegionCut checks that subscribers cut off for long become stale, and catch up once the partition heals.
 func TestRegionCut(t *testing.T) {
 	t.Parallel()
-	options := smallFleet()
+	options := smallFleetOptions()
 	options.CutSize, options.CutDuration, options.Duration = 20, 5*time.Second, 9*time.Second
-	result := play(t, options)
+	result := runFleet(t, options)
 	if len(result.Faults) != 1 {
 		t.Fatalf("faults: %+v", result.Faults)
 	}
 	if cut := result.Faults[0]; cut.StaleSubscribers != options.CutSize || cut.NotRecovered != 0 {
-		t.Errorf("%d of the %d that were cut off were told so; %d never had what was published meanwhile", cut.StaleSubscribers, options.CutSize,
-			cut.NotRecovered)
+		t.Errorf("%d of %d subscribers that were cut off became stale; %d did not recover", cut.StaleSubscribers,
+			options.CutSize, cut.NotRecovered)
 	}
 	if result.Subscriber.Counted != options.Subscribers-options.CutSize {
 		t.Errorf("%d subscribers counted", result.Subscriber.Counted)
 	}
 }
 
-// TestAllRestarted has the publisher go on from its log.
+// TestAllRestarted checks that a restarted publisher continues from its log.
 func TestAllRestarted(t *testing.T) {
 	t.Parallel()
-	options := smallFleet()
+	options := smallFleetOptions()
 	options.RestartAll, options.Duration = true, 6*time.Second
-	play(t, options)
+	runFleet(t, options)
 }
 
-func TestUnusableOptions(t *testing.T) {
-	for name, spoil := range map[string]func(*Options){
+func TestInvalidOptions(t *testing.T) {
+	for name, invalidate := range map[string]func(*Options){
 		"no subscriber":       func(o *Options) { o.Subscribers = 0 },
 		"no duration":         func(o *Options) { o.Duration = 0 },
 		"a negative rate":     func(o *Options) { o.PurgesPerSecond = -1 },
@@ -111,10 +113,10 @@
 		"a cut without time":  func(o *Options) { o.CutSize = 1 },
 		"a cut to the end":    func(o *Options) { o.CutSize, o.CutDuration = 1, o.Duration },
 	} {
-		options := smallFleet()
-		spoil(&options)
+		options := smallFleetOptions()
+		invalidate(&options)
 		if options.validate() == nil {
-			t.Errorf("%s: not refused", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/internal/feed/feedscale/table.go
+++ b/internal/feed/feedscale/table.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
+// findingsShown is the number of findings that Table lists.
 const findingsShown = 20
 
-// Table writes a result for people.
+// Table writes the result as an aligned text table, followed by the first findings of the audit.
 func (r *Result) Table(w io.Writer) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(format string, values ...any) { fmt.Fprintf(table, format+"\n", values...) }
@@ -32,9 +33,10 @@
 	}
 }
 
-// rowFunc writes a row of the table.
+// rowFunc formats and writes a row of the table; tabs separate its cells.
 type rowFunc func(format string, values ...any)
 
+// place describes which processes the publisher and the relays ran in.
 func (r *Result) place() string {
 	if r.SeparateProcesses {
 		return "publisher and relays in processes of their own"
@@ -42,14 +44,16 @@
 	return "all in one process"
 }
 
+// length returns the duration of the workload in seconds.
 func (r *Result) length() float64 { return (r.To - r.From).Seconds() }
 
-// String is the latency in milliseconds.
+// String returns the quantiles in milliseconds and the number of samples.
 func (l Latency) String() string {
 	ms := func(time time.Duration) int64 { return time.Milliseconds() }
 	return fmt.Sprintf("p50 %d ms, p99 %d ms, worst %d ms (%d)", ms(l.P50), ms(l.P99), ms(l.Worst), l.Count)
 }
 
+// partial describes the number of changes that some subscriber did not apply individually; empty for 0.
 func partial(number int) string {
 	if number == 0 {
 		return ""
@@ -57,14 +61,15 @@
 	return fmt.Sprintf("; %d more came to some as a part of a snapshot or set", number)
 }
 
+// subscriberRows writes the rows on the cost of a subscriber.
 func (r *Result) subscriberRows(row rowFunc) {
 	s := r.Subscriber
-	row("one subscriber receives\t%.0f B/s in %.1f messages, %.1f%% of %d B/s; at most %d B in any second (%.0f%%)", s.BytesPerSecond,
-		s.MessagesPerSecond, percent(s.BytesPerSecond, BytesPerSecondBudget), BytesPerSecondBudget, s.MaxBytesInSecond,
-		percent(float64(s.MaxBytesInSecond), BytesPerSecondBudget))
+	row("one subscriber receives\t%.0f B/s in %.1f messages, %.1f%% of %d B/s; at most %d B in any second (%.0f%%)",
+		s.BytesPerSecond, s.MessagesPerSecond, percent(s.BytesPerSecond, BytesPerSecondBudget), BytesPerSecondBudget,
+		s.MaxBytesInSecond, percent(float64(s.MaxBytesInSecond), BytesPerSecondBudget))
 	row("  it sends\t%.0f B/s", s.SentBytesPerSecond)
-	row("  headers and acknowledgements\t%.0f B/s reckoned, both ways, at %d B a segment and acknowledgement (%.1f segments a second)",
-		s.HeaderBytesPerSecond(), headerBytes, s.SegmentsPerSecond)
+	row("  headers and acknowledgements\t%.0f B/s estimated, both ways, at %d B per segment and acknowledgement (%.1f segments/s)",
+		s.HeaderBytesPerSecond(), headerBytesPerSegment, s.SegmentsPerSecond)
 	all := s.BytesPerSecond + s.SentBytesPerSecond + s.HeaderBytesPerSecond()
 	row("  all together\t%.0f B/s, %.1f%% of %d B/s", all, percent(all, BytesPerSecondBudget), BytesPerSecondBudget)
 	note := ""
@@ -76,8 +81,10 @@
 		MemoryBudget>>20, note)
 }
 
+// percent returns part as a percentage of whole.
 func percent(part, whole float64) float64 { return 100 * part / whole }
 
+// controlRows writes the rows on the publisher, the busiest relay and their processes.
 func (r *Result) controlRows(row rowFunc) {
 	if len(r.Senders) > 0 {
 		publisher, busiest := r.Senders[0], r.Senders[0]
@@ -106,6 +113,7 @@
 		percent(float64(largest.MaxResidentBytes), MemoryBudget), MemoryBudget>>20)
 }
 
+// faultRows writes the rows on a fault.
 func faultRows(row rowFunc, fault FaultResult) {
 	row("fault: %s\tfrom %.1f s to %.1f s", fault.Text, fault.From.Seconds(), fault.To.Seconds())
 	row("  purges of that time, until applied by all\t%v%s", fault.PropagationLatency, partial(fault.Partial))
@@ -114,6 +122,7 @@
 	row("  from its end until current\t%v, %d never", fault.Recovered, fault.NotRecovered)
 }
 
+// auditRows writes the rows on the audit.
 func (r *Result) auditRows(row rowFunc) {
 	row("covered otherwise\t%d purges by prefix, %d changes by reset, %d settings by a later value", r.Coverage.ByPrefix,
 		r.Coverage.ByReset, r.Coverage.Superseded)
--- a/internal/feed/feedscale/usage.go
+++ b/internal/feed/feedscale/usage.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// processCPUTime returns the user and system CPU time of the calling process, or 0 if it cannot be read.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -15,7 +15,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// memoryInUse is the heap and the stacks of this process after a collection.
+// memoryInUse returns the bytes of heap and stacks in use by the calling process, after a garbage collection.
 func memoryInUse() int {
 	runtime.GC()
 	var memory runtime.MemStats
@@ -23,18 +23,19 @@
 	return int(memory.HeapAlloc + memory.StackInuse)
 }
 
-// subscriberCounts sums up what the subscribers themselves count.
-type subscriberCounts struct {
+// messageCounts holds sums of the subscribers' own counters.
+type messageCounts struct {
 	MessagesReceived, MessagesSent uint64
 	Dials                          uint64
 }
 
-func (c subscriberCounts) minus(before subscriberCounts) subscriberCounts {
-	return subscriberCounts{c.MessagesReceived - before.MessagesReceived, c.MessagesSent - before.MessagesSent, c.Dials - before.Dials}
+// subtract returns the counts since an earlier reading.
+func (c messageCounts) subtract(before messageCounts) messageCounts {
+	return messageCounts{c.MessagesReceived - before.MessagesReceived, c.MessagesSent - before.MessagesSent, c.Dials - before.Dials}
 }
 
-// countMessages asks all subscribers.
-func (f *fleet) countMessages() (sum subscriberCounts) {
+// countMessages sums the counters of all subscribers.
+func (f *fleet) countMessages() (sum messageCounts) {
 	for _, subscriber := range f.subscribers {
 		counters := subscriber.server.Status().Counters
 		sum.MessagesReceived += counters.FromParents.Messages
--- a/internal/feed/feedscale/usage_process.go
+++ b/internal/feed/feedscale/usage_process.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	clockTick       = 10 * time.Millisecond // of the times in /proc: 100 a second on all of Linux's platforms that Go has
-	userTimeField   = 11                    // of /proc/PID/stat, counted behind the command's name
+	clockTick       = 10 * time.Millisecond // unit of times in /proc, the same on all Linux platforms that Go supports
+	userTimeField   = 11                    // index in /proc/PID/stat, counted after the command's name
 	systemTimeField = 12
 )
 
-// usageOf reads what a process has used from /proc.
+// usageOf reads the resource usage of a process from /proc.
 func usageOf(pid int) (processUsage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return processUsage{}, err
 	}
-	_, behindName, _ := strings.Cut(string(stat), ") ")
-	fields := strings.Fields(behindName)
+	_, afterName, _ := strings.Cut(string(stat), ") ")
+	fields := strings.Fields(afterName)
 	if len(fields) <= systemTimeField {
-		return processUsage{}, fmt.Errorf("/proc/%d/stat: too short", pid)
+		return processUsage{}, fmt.Errorf("/proc/%d/stat: too few fields", pid)
 	}
 	var ticks int64
 	for _, field := range []string{fields[userTimeField], fields[systemTimeField]} {
@@ -33,21 +33,21 @@
 		}
 		ticks += count
 	}
-	resident, err := greatestResident(pid)
+	resident, err := maxResident(pid)
 	return processUsage{time.Duration(ticks) * clockTick, resident}, err
 }
 
-// greatestResident is the most memory that a process has had resident, in bytes.
-func greatestResident(pid int) (int, error) {
+// maxResident reads the peak resident memory of a process from /proc, in bytes.
+func maxResident(pid int) (int, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, err
 	}
 	for line := range strings.Lines(string(status)) {
-		if text, is := strings.CutPrefix(line, "VmHWM:"); is {
+		if text, found := strings.CutPrefix(line, "VmHWM:"); found {
 			kilobytes, err := strconv.Atoi(strings.Fields(text)[0])
 			return kilobytes << 10, err
 		}
 	}
-	return 0, fmt.Errorf("/proc/%d/status: no VmHWM", pid)
+	return 0, fmt.Errorf("/proc/%d/status: VmHWM is missing", pid)
 }
--- a/internal/feed/feedscale/virtual_test.go
+++ b/internal/feed/feedscale/virtual_test.go
@@ -8,33 +8,34 @@
 	"larchthread/internal/feed"
 )
 
-// virtualFleet runs the feed's nodes in virtual time, without sockets: the same seed gives the same messages on any machine.
-// Node 0 is the publisher; the relays follow, and then the subscribers.
+// virtualFleet simulates a fleet of feed nodes in virtual time without sockets, so that equal seeds give equal messages on
+// any machine. Node 0 is the publisher, followed by the relays and then the subscribers.
 type virtualFleet struct {
 	t           *testing.T
 	now         time.Duration
 	nodes       []*feed.Node
 	relays      int
 	peers       []map[feed.PeerID]virtualPeer // by node
-	lastPeer    feed.PeerID
+	lastPeerID  feed.PeerID
 	pending     []virtualMessage
-	subscribers []*hollowSubscriber
-	sent        []traffic // by node: messages as segments
+	subscribers []*recordingSubscriber
+	sent        []traffic // by node; each message counts as a segment
 	ledger      ledger
 }
 
-// virtualPeer is the other end of a connection.
+// virtualPeer identifies an end of a connection: a node and the node's ID for the connection.
 type virtualPeer struct {
 	node int
 	id   feed.PeerID
 }
 
-// virtualMessage is on its way. One without a message tells that the connection has ended.
+// virtualMessage is a message in flight. A nil message reports the end of the connection.
 type virtualMessage struct {
 	to      virtualPeer
 	message feed.Message
 }
 
+// newVirtualFleet creates a fleet whose relays are in one region each.
 func newVirtualFleet(t *testing.T, subscribers, relays int) *virtualFleet {
 	fleet := &virtualFleet{t: t, relays: relays}
 	fleet.add(publisherConfig())
@@ -48,13 +49,14 @@
 			addresses = append(addresses, virtualAddress(1+relay))
 		}
 		fleet.add(subscriberConfig(subscriber, addresses, 100))
-		fleet.subscribers = append(fleet.subscribers, &hollowSubscriber{index: subscriber, began: time.Now()})
+		fleet.subscribers = append(fleet.subscribers, &recordingSubscriber{index: subscriber, runStart: time.Now()})
 	}
 	return fleet
 }
 
 func virtualAddress(node int) string { return fmt.Sprint("node-", node) }
 
+// add adds a node to the fleet.
 func (v *virtualFleet) add(config feed.Config) {
 	node, err := feed.NewNode(config, nil, v.now)
 	if err != nil {
@@ -65,7 +67,7 @@
 	v.sent = append(v.sent, traffic{})
 }
 
-// run lets time go on to a given one.
+// run advances the virtual time to the given time.
 func (v *virtualFleet) run(until time.Duration) {
 	for {
 		next := until
@@ -75,7 +77,7 @@
 		v.now = max(v.now, next)
 		for i, node := range v.nodes {
 			node.Tick(v.now)
-			v.take(i)
+			v.applyOutput(i)
 		}
 		v.deliver()
 		if v.now >= until {
@@ -84,7 +86,7 @@
 	}
 }
 
-// deliver passes messages on until none is left. They take no time.
+// deliver delivers messages, without any latency, until none is pending.
 func (v *virtualFleet) deliver() {
 	for len(v.pending) > 0 {
 		next := v.pending[0]
@@ -99,12 +101,12 @@
 		} else {
 			node.Receive(next.to.id, next.message)
 		}
-		v.take(next.to.node)
+		v.applyOutput(next.to.node)
 	}
 }
 
-// take does what a node wants done.
-func (v *virtualFleet) take(from int) {
+// applyOutput carries out a node's output: it queues messages, records events and opens connections.
+func (v *virtualFleet) applyOutput(from int) {
 	output := v.nodes[from].TakeOutput()
 	for _, envelope := range output.Send {
 		v.sent[from].add(traffic{len(envelope.Frame), 1})
@@ -116,7 +118,7 @@
 	}
 	if subscriber := from - 1 - v.relays; subscriber >= 0 {
 		for _, event := range output.Events {
-			v.subscribers[subscriber].observe(event)
+			v.subscribers[subscriber].recordEvent(event)
 		}
 	}
 	if output.Dial != "" {
@@ -124,24 +126,25 @@
 	}
 }
 
+// connect opens a connection from a node to the one with the given address.
 func (v *virtualFleet) connect(from int, address string) {
 	for to := range v.nodes {
 		if virtualAddress(to) != address {
 			continue
 		}
-		v.lastPeer += 2
-		child, parent := virtualPeer{from, v.lastPeer}, virtualPeer{to, v.lastPeer + 1}
+		v.lastPeerID += 2
+		child, parent := virtualPeer{from, v.lastPeerID}, virtualPeer{to, v.lastPeerID + 1}
 		v.peers[from][child.id], v.peers[to][parent.id] = parent, child
 		v.nodes[to].PeerOpened(parent.id, false)
-		v.take(to)
+		v.applyOutput(to)
 		v.nodes[from].PeerOpened(child.id, true)
-		v.take(from)
+		v.applyOutput(from)
 		return
 	}
 	v.t.Fatalf("no node at %s", address)
 }
 
-// publish publishes the whole workload at its due times, from now on.
+// publish publishes the workload at its due times, starting at the current virtual time.
 func (v *virtualFleet) publish(options Options) {
 	start := v.now
 	plans := [kinds][]plannedChange{}
@@ -158,14 +161,15 @@
 	}
 }
 
+// publishOne advances the time to the change's due time and publishes the change.
 func (v *virtualFleet) publishOne(start time.Duration, change plannedChange) {
 	v.run(start + change.Due)
 	at, err := v.nodes[0].Publish(feed.Kind(change.Kind), change.key(), []byte(change.Value))
 	if err != nil {
 		v.t.Fatal(err)
 	}
-	v.take(0)
+	v.applyOutput(0)
 	v.deliver()
-	v.ledger.add(change.Kind, publishedChange{Identity: change.Identity, Key: change.Name, Due: start + change.Due,
+	v.ledger.add(change.Kind, publishAttempt{Identity: change.Identity, Key: change.Name, Due: start + change.Due,
 		Position: position(at), Acknowledged: true})
 }
--- a/internal/feed/feedscale/workload.go
+++ b/internal/feed/feedscale/workload.go
@@ -10,17 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is a kind of changes in the workload. Its value is the kind's index in the feed's configuration.
+// Kind is a kind of changes in the workload. Its value is the index of the kind in the feed's configuration.
 type Kind uint8
 
 // The kinds of changes.
 const (
-	Settings Kind = iota // the latest value by key counts
-	Purges               // each one counts
+	Settings Kind = iota // only the latest value of each key matters
+	Purges               // every change matters
 	kinds                // the number of kinds
 )
 
-// String names the kind as the feed's configuration does.
+// String returns the kind's name in the feed's configuration.
 func (k Kind) String() string {
 	switch k {
 	case Settings:
@@ -32,29 +32,29 @@
 	}
 }
 
-// Streams of the seeded generator, one for each use.
+// Streams of the seeded random generator, one for each use.
 const (
-	seedOfPlacement = iota + 1
-	seedOfSettings
-	seedOfPurges
+	placementStream = iota + 1
+	settingsStream
+	purgesStream
 )
 
 const (
 	settingKeys    = 200
-	identityDigits = 16 // at the start of a setting's value, hexadecimal
+	identityDigits = 16 // hexadecimal digits at the start of a setting's value
 	identityBits   = 64
 )
 
-// plannedChange is a change that the workload publishes.
+// plannedChange is a change of the workload.
 type plannedChange struct {
 	Kind     Kind
-	Due      time.Duration // since the workload began
-	Identity uint64        // no other change of the kind has it
-	Name     string        // the setting's key, or the object that is purged
-	Value    string        // of a setting
+	Due      time.Duration // since the start of the workload
+	Identity uint64        // unique among the changes of the kind
+	Name     string        // the setting's key, or the object to purge
+	Value    string        // of a setting; empty for a purge
 }
 
-// key is the change's key in the feed: a purge has the hash of its object.
+// key returns the change's key in the feed: the setting's key, or the hash of the object to purge.
 func (c plannedChange) key() []byte {
 	if c.Kind == Purges {
 		return binary.BigEndian.AppendUint64(nil, c.Identity)
@@ -62,36 +62,37 @@
 	return []byte(c.Name)
 }
 
-// planWorkload draws the changes of a kind, in the order of their due times.
+// planWorkload generates the changes of a kind from the options' seed, in the order of their due times.
 func planWorkload(options Options, kind Kind) []plannedChange {
-	rate, stream := options.PurgesPerSecond, uint64(seedOfPurges)
+	rate, stream := options.PurgesPerSecond, uint64(purgesStream)
 	if kind == Settings {
-		rate, stream = options.SettingsPerSecond, seedOfSettings
+		rate, stream = options.SettingsPerSecond, settingsStream
 	}
 	if rate <= 0 {
 		return nil
 	}
 	random := rand.New(rand.NewPCG(options.Seed, stream))
-	taken := map[uint64]bool{}
+	used := map[uint64]bool{}
 	var plan []plannedChange
 	for due := nextArrival(random, rate); due < options.Duration; due += nextArrival(random, rate) {
-		change := drawChange(kind, options.SettingBytes, random)
-		for taken[change.Identity] {
-			change = drawChange(kind, options.SettingBytes, random)
+		change := randomChange(kind, options.SettingBytes, random)
+		for used[change.Identity] {
+			change = randomChange(kind, options.SettingBytes, random)
 		}
-		taken[change.Identity] = true
+		used[change.Identity] = true
 		change.Due = due
 		plan = append(plan, change)
 	}
 	return plan
 }
 
-// nextArrival draws the time between two changes; arrivals are independent of each other.
+// nextArrival returns a random time between two changes of a Poisson process with the given rate per second.
 func nextArrival(random *rand.Rand, perSecond float64) time.Duration {
 	return time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-func drawChange(kind Kind, settingBytes int, random *rand.Rand) plannedChange {
+// randomChange generates a change of a kind without a due time; a setting's value has at least settingBytes bytes.
+func randomChange(kind Kind, settingBytes int, random *rand.Rand) plannedChange {
 	if kind == Purges {
 		object := fmt.Sprintf("object/%016x", random.Uint64())
 		return plannedChange{Kind: Purges, Identity: xxhash.Sum64String(object), Name: object}
@@ -105,7 +106,7 @@
 	return plannedChange{Kind: Settings, Identity: identity, Name: name, Value: string(value)}
 }
 
-// identityOf reads a change's identity back from its key and value.
+// identityOf extracts a change's identity from its key and value. It returns false if they contain none.
 func identityOf(kind Kind, key, value []byte) (identity uint64, ok bool) {
 	if kind == Purges {
 		if len(key) != identityBits/8 {
