--- a/internal/feed/feednet/changelog.go
+++ b/internal/feed/feednet/changelog.go
@@ -125,6 +125,7 @@
 	return changes, validSize, nil
 }
 
+// corruptLogError returns a *CorruptLogError for the record at a byte offset.
 func (l *changeLog) corruptLogError(offset int, err error) error {
 	return &CorruptLogError{l.path, offset, err.Error()}
 }
--- a/internal/feed/feednet/input.go
+++ b/internal/feed/feednet/input.go
@@ -21,10 +21,12 @@
 	socket net.Conn
 }
 
+// handle registers the connection.
 func (in acceptedInput) handle(l *loop) {
 	l.accept(in.socket)
 }
 
+// discard closes the connection.
 func (in acceptedInput) discard() {
 	in.socket.Close()
 }
@@ -34,6 +36,7 @@
 	conn *connection
 }
 
+// handle adds the connection and tells the node, or aborts it if a later attempt has superseded this one.
 func (in dialledInput) handle(l *loop) {
 	if in.conn.peer != l.dialPeer { // superseded by a later attempt
 		in.conn.abort()
@@ -44,6 +47,7 @@
 	l.node.PeerOpened(in.conn.peer, true)
 }
 
+// discard closes the connection.
 func (in dialledInput) discard() {
 	in.conn.abort()
 }
@@ -55,6 +59,7 @@
 	err     error
 }
 
+// handle tells the node, unless a later attempt has superseded this one.
 func (in dialFailedInput) handle(l *loop) {
 	if in.peer != l.dialPeer {
 		return
@@ -70,6 +75,7 @@
 	message feed.Message
 }
 
+// handle passes the message to the node, unless the connection has been removed.
 func (in messageInput) handle(l *loop) {
 	conn := l.connections[in.peer]
 	if conn == nil { // closed by the node or aborted
@@ -85,6 +91,7 @@
 	err  error
 }
 
+// handle removes the connection.
 func (in lostInput) handle(l *loop) {
 	l.lost(in.peer, in.err)
 }
@@ -102,6 +109,7 @@
 	err      error
 }
 
+// handle publishes the change. An error is returned at once; the position, once the change is on disk.
 func (in *publishInput) handle(l *loop) {
 	position, err := l.node.Publish(in.kind, in.key, in.value)
 	if err != nil {
@@ -116,6 +124,7 @@
 	reply chan feed.Status // with a buffer of one, so the loop never blocks
 }
 
+// handle returns the node's status.
 func (in statusInput) handle(l *loop) {
 	in.reply <- l.node.Status()
 }
@@ -123,6 +132,7 @@
 // closeInput is a request from Close.
 type closeInput struct{}
 
+// handle shuts the loop down.
 func (closeInput) handle(l *loop) {
 	l.shutDown()
 }
--- a/internal/feed/feednet/logformat.go
+++ b/internal/feed/feednet/logformat.go
@@ -122,10 +122,12 @@
 	failed bool
 }
 
+// fail marks the payload as malformed and drops the rest of it.
 func (r *payloadDecoder) fail() {
 	r.rest, r.failed = nil, true
 }
 
+// byte reads one byte.
 func (r *payloadDecoder) byte() byte {
 	if len(r.rest) == 0 {
 		r.fail()
@@ -136,6 +138,7 @@
 	return value
 }
 
+// uvarint reads an unsigned varint.
 func (r *payloadDecoder) uvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if size <= 0 {
@@ -146,6 +149,7 @@
 	return value
 }
 
+// bytes reads a value written by appendBytes. It shares memory with the payload.
 func (r *payloadDecoder) bytes() []byte {
 	length := r.uvarint()
 	if length > uint64(len(r.rest)) {
--- a/internal/feed/feedscale/control_local.go
+++ b/internal/feed/feedscale/control_local.go
@@ -24,6 +24,7 @@
 	return &localControlPlane{directory: directory, seed: seed, relays: map[int]*feednet.Server{}}
 }
 
+// publish publishes a change. It returns feednet.ErrClosed if the publisher is not running.
 func (c *localControlPlane) publish(ctx context.Context, change plannedChange) (position, error) {
 	c.mutex.Lock()
 	publisher := c.publisher
@@ -35,6 +36,7 @@
 	return position(at), err
 }
 
+// startPublisher starts the publisher.
 func (c *localControlPlane) startPublisher(address string) error {
 	publisher, err := feednet.Start(feednet.Options{Feed: publisherConfig(), Listen: address, Directory: c.directory})
 	if err != nil {
@@ -46,6 +48,7 @@
 	return nil
 }
 
+// startRelay starts a relay.
 func (c *localControlPlane) startRelay(relay int, address, publisher string) error {
 	server, err := feednet.Start(feednet.Options{Feed: relayConfig(relay, publisher, c.seed), Listen: address})
 	if err != nil {
@@ -57,6 +60,7 @@
 	return nil
 }
 
+// killPublisher closes the publisher, which notifies its peers.
 func (c *localControlPlane) killPublisher() error {
 	c.mutex.Lock()
 	publisher := c.publisher
@@ -68,6 +72,7 @@
 	return publisher.Close()
 }
 
+// killRelay closes a relay, which notifies its peers.
 func (c *localControlPlane) killRelay(relay int) error {
 	c.mutex.Lock()
 	server := c.relays[relay]
@@ -82,10 +87,13 @@
 // errRelayNotProcess is returned for freezing a relay that runs in the calling process.
 var errRelayNotProcess = errors.New("only a relay in a separate process can be frozen")
 
+// freezeRelay returns errRelayNotProcess.
 func (c *localControlPlane) freezeRelay(int) error { return errRelayNotProcess }
 
+// usage returns nothing, since there are no separate processes.
 func (c *localControlPlane) usage() (map[string]processUsage, error) { return nil, nil }
 
+// close closes the publisher and all relays.
 func (c *localControlPlane) close() error {
 	failures := []error{c.killPublisher()}
 	for relay := range c.relays {
--- a/internal/feed/feedscale/control_processes.go
+++ b/internal/feed/feedscale/control_processes.go
@@ -54,6 +54,7 @@
 	Control controlSection `yaml:"control"`
 }
 
+// controlSection is the control section of the file.
 type controlSection struct {
 	Cluster   string   `yaml:"cluster"`
 	ID        string   `yaml:"id"`
@@ -68,15 +69,18 @@
 	Purges   purgesSection   `yaml:"purges"`
 }
 
+// settingsSection configures the settings kind.
 type settingsSection struct {
 	Window        int `yaml:"window"`
 	MaxValueBytes int `yaml:"max_value_bytes"`
 }
 
+// purgesSection configures the purges kind.
 type purgesSection struct {
 	Window int `yaml:"window"`
 }
 
+// startPublisher starts the publisher and waits until it is ready.
 func (c *processControlPlane) startPublisher(address string) error {
 	logDirectory := filepath.Join(c.directory, "log")
 	if err := os.MkdirAll(logDirectory, 0o700); err != nil {
@@ -86,11 +90,13 @@
 		Listen: address, Directory: logDirectory})
 }
 
+// startRelay starts a relay and waits until it is ready.
 func (c *processControlPlane) startRelay(relay int, address, publisher string) error {
 	return c.start(controlSection{Cluster: clusterName, ID: relayName(relay), Role: "relay", Listen: address,
 		Parents: []string{publisher}, Seed: c.seed + uint64(relay) + 1})
 }
 
+// relayName returns the ID and process name of a relay.
 func relayName(relay int) string { return fmt.Sprintf("relay-%d", relay) }
 
 // start writes the configuration file, starts the process and waits until it is ready.
@@ -175,6 +181,7 @@
 	return c.processes[name]
 }
 
+// publish sends the change to the publisher's standard input and waits for its answer.
 func (c *processControlPlane) publish(ctx context.Context, change plannedChange) (position, error) {
 	publisher := c.process(publisherName)
 	if publisher == nil {
@@ -218,10 +225,13 @@
 	return at, nil
 }
 
+// killPublisher kills the publisher's process.
 func (c *processControlPlane) killPublisher() error { return c.kill(publisherName) }
 
+// killRelay kills a relay's process.
 func (c *processControlPlane) killRelay(relay int) error { return c.kill(relayName(relay)) }
 
+// freezeRelay stops a relay's process with SIGSTOP.
 func (c *processControlPlane) freezeRelay(relay int) error {
 	process := c.process(relayName(relay))
 	if process == nil {
@@ -252,6 +262,7 @@
 	return nil
 }
 
+// usage reads the usage of the running processes.
 func (c *processControlPlane) usage() (map[string]processUsage, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -266,6 +277,7 @@
 	return used, nil
 }
 
+// close kills all processes.
 func (c *processControlPlane) close() error {
 	c.mutex.Lock()
 	var names []string
