--- a/internal/trial/check.go
+++ b/internal/trial/check.go
@@ -38,8 +38,8 @@
 }
 
 const (
-	breaksMost    = 20                     // of one rule that are told in words
-	deadlineSlack = 150 * time.Millisecond // by which a server may hear an attempt later than it was written, on a busy machine
+	maxViolationsPerRule = 20                     // of one rule that are told in words
+	deadlineSlack        = 150 * time.Millisecond // by which a server may hear an attempt later than it was written, on a busy machine
 )
 
 // rules are the checkers, each apart from the others and from the program's own figures.
@@ -48,15 +48,15 @@
 	text  string
 	check func(*History) []Violation
 }{
-	{"answers", "each op that a balancer took gets one answer, in its time, unless that balancer ended or stood still", (*History).answers},
-	{"moot", "nothing is pushed after its op's TTL", (*History).moot},
-	{"deadlines", "no attempt tells its server more time than its client has left", (*History).deadlines},
-	{"effects", "an at-most-once op runs once at most; one that was nacked never ran", (*History).effects},
-	{"window", "a deduplicated op runs again only inside the window in which hosts drop repeats", (*History).window},
-	{"drains", "nothing new to a draining, banned or gone host after the grace, by each balancer", (*History).drains},
-	{"cold", "no cold host is pushed over by all balancers together", (*History).cold},
-	{"values", "reads and writes of each key could have happened one after another", (*History).values},
-	{"crashes", "no process ends without being told to", (*History).crashes},
+	{"answers", "each op that a balancer took gets one answer, in its time, unless that balancer ended or stood still", (*History).checkAnswers},
+	{"moot", "nothing is pushed after its op's TTL", (*History).checkExpired},
+	{"deadlines", "no attempt tells its server more time than its client has left", (*History).checkDeadlines},
+	{"effects", "an at-most-once op runs once at most; one that was nacked never ran", (*History).checkAtMostOnce},
+	{"window", "a deduplicated op runs again only inside the window in which hosts drop repeats", (*History).checkDedupWindow},
+	{"drains", "nothing new to a draining, banned or gone host after the grace, by each balancer", (*History).checkDrains},
+	{"cold", "no cold host is pushed over by all balancers together", (*History).checkColdHosts},
+	{"values", "reads and writes of each key could have happened one after another", (*History).checkValues},
+	{"crashes", "no process ends without being told to", (*History).checkCrashes},
 }
 
 // Check looks for broken rules, in the order of time.
@@ -67,8 +67,8 @@
 			found[i].Rule = rule.name
 		}
 		slices.SortStableFunc(found, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
-		if more := len(found) - breaksMost; more > 0 {
-			found = append(found[:breaksMost], Violation{rule.name, found[breaksMost].At, fmt.Sprintf("and %d more", more)})
+		if more := len(found) - maxViolationsPerRule; more > 0 {
+			found = append(found[:maxViolationsPerRule], Violation{rule.name, found[maxViolationsPerRule].At, fmt.Sprintf("and %d more", more)})
 		}
 		all = append(all, found...)
 	}
@@ -76,13 +76,13 @@
 	return all
 }
 
-// away tells whether a balancer was not serving at some time of a span.
-func (w BalancerRecord) away(from, to time.Duration) bool {
+// wasOut tells whether a balancer was not serving at some time of a span.
+func (w BalancerRecord) wasOut(from, to time.Duration) bool {
 	return slices.ContainsFunc(w.Outages, func(a Outage) bool { return a.From <= to && (a.To == 0 || a.To >= from) })
 }
 
 // answers: a balancer that ends takes its open ops with it, and one that stands still answers late.
-func (r *History) answers() (all []Violation) {
+func (r *History) checkAnswers() (all []Violation) {
 	pushed := map[string]bool{}
 	for _, x := range r.Pushes {
 		pushed[x.OpID] = true
@@ -96,8 +96,8 @@
 		if c.ExtraAnswers > 0 {
 			all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("op %s at %s: %d answers too many", c.ID, w.Name, c.ExtraAnswers)})
 		}
-		lost := c.Outcome == TimedOut || c.Outcome == Disconnected || c.Done > c.Sent+ttl+answerSlack
-		if lost && !w.away(c.Sent-r.Tolerance, c.Sent+ttl+answerSlack) {
+		unanswered := c.Outcome == TimedOut || c.Outcome == Disconnected || c.Done > c.Sent+ttl+answerTolerance
+		if unanswered && !w.wasOut(c.Sent-r.Tolerance, c.Sent+ttl+answerTolerance) {
 			all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("op %s (%s %s) at %s: %s %q, %v after it was sent", c.ID, c.Category,
 				c.Key, w.Name, c.Outcome, c.Text, (c.Done - c.Sent).Round(time.Millisecond))})
 		}
@@ -108,8 +108,8 @@
 	return all
 }
 
-// byID are the ops by their ids.
-func (r *History) byID() map[string]Call {
+// callsByID are the ops by their ids.
+func (r *History) callsByID() map[string]Call {
 	all := map[string]Call{}
 	for _, c := range r.Calls {
 		all[c.ID] = c
@@ -118,15 +118,15 @@
 }
 
 // moot: what a link held up, or was in a balancer that stood still, may come late.
-func (r *History) moot() (all []Violation) {
-	ops := r.byID()
+func (r *History) checkExpired() (all []Violation) {
+	ops := r.callsByID()
 	for _, x := range r.Pushes {
 		c, known := ops[x.OpID]
 		if !known {
 			continue
 		}
 		end := c.Sent + ttl + r.Tolerance
-		if x.ReceivedAt > end && !(c.Balancer >= 0 && r.Balancers[c.Balancer].away(c.Sent, x.ReceivedAt)) {
+		if x.ReceivedAt > end && !(c.Balancer >= 0 && r.Balancers[c.Balancer].wasOut(c.Sent, x.ReceivedAt)) {
 			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("op %s pushed to %s %v after its TTL", x.OpID, x.Host,
 				(x.ReceivedAt - c.Sent - ttl).Round(time.Millisecond))})
 		}
@@ -135,8 +135,8 @@
 }
 
 // deadlines: also a balancer that stood still has to count that, as its client's time went on.
-func (r *History) deadlines() (all []Violation) {
-	ops := r.byID()
+func (r *History) checkDeadlines() (all []Violation) {
+	ops := r.callsByID()
 	for _, x := range r.Pushes {
 		c, known := ops[x.OpID]
 		if over := x.Deadline - c.Sent - ttl; known && over > deadlineSlack+r.Tolerance {
@@ -147,10 +147,10 @@
 	return all
 }
 
-func (r *History) effects() (all []Violation) {
-	ops, runs := r.byID(), map[string][]standin.ReceivedPush{}
+func (r *History) checkAtMostOnce() (all []Violation) {
+	ops, runs := r.callsByID(), map[string][]standin.ReceivedPush{}
 	for _, x := range r.Pushes {
-		if x.Executed && categories[x.Category] == "fragile" {
+		if x.Executed && repeatModes[x.Category] == "fragile" {
 			runs[x.OpID] = append(runs[x.OpID], x)
 		}
 	}
@@ -165,16 +165,16 @@
 	return all
 }
 
-func (r *History) window() (all []Violation) {
+func (r *History) checkDedupWindow() (all []Violation) {
 	first := map[string]standin.ReceivedPush{}
 	for _, x := range r.Pushes {
-		if categories[x.Category] != "dedup" || !x.Executed {
+		if repeatModes[x.Category] != "dedup" || !x.Executed {
 			continue
 		}
 		f, again := first[x.OpID]
 		if !again {
 			first[x.OpID] = x
-		} else if x.ReceivedAt-f.ReceivedAt > dropsFor+r.Tolerance {
+		} else if x.ReceivedAt-f.ReceivedAt > dedupWindow+r.Tolerance {
 			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("deduplicated op %s ran again %v after it first did", x.OpID,
 				(x.ReceivedAt - f.ReceivedAt).Round(time.Millisecond))})
 		}
@@ -182,31 +182,31 @@
 	return all
 }
 
-// shut is a while in which a balancer may send nothing new to a host, the grace left out.
-type shut struct {
+// exclusion is a while in which a balancer may send nothing new to a host, the grace left out.
+type exclusion struct {
 	Span
-	why string
+	reason string
 }
 
 // drains: lists count from when discovery wrote them. A process that starts anew knows what its start file says, and what it
 // is told from then on; while it stands still it hears nothing, so the grace begins once it goes on.
-func (r *History) drains() (all []Violation) {
+func (r *History) checkDrains() (all []Violation) {
 	bySource := map[string]int{}
 	for i, w := range r.Balancers {
 		bySource[w.Source] = i
 	}
-	shuts := make([]map[string][]shut, len(r.Balancers))
+	exclusions := make([]map[string][]exclusion, len(r.Balancers))
 	for i, w := range r.Balancers {
-		shuts[i] = map[string][]shut{}
+		exclusions[i] = map[string][]exclusion{}
 		open := func(host, why string, at time.Duration) {
-			spans := shuts[i][host]
+			spans := exclusions[i][host]
 			if n := len(spans); n == 0 || spans[n-1].To != 0 {
-				shuts[i][host] = append(spans, shut{Span{From: at}, why})
+				exclusions[i][host] = append(spans, exclusion{Span{From: at}, why})
 			}
 		}
 		end := func(host string, at time.Duration) {
-			if n := len(shuts[i][host]); n > 0 && shuts[i][host][n-1].To == 0 {
-				shuts[i][host][n-1].To = at
+			if n := len(exclusions[i][host]); n > 0 && exclusions[i][host][n-1].To == 0 {
+				exclusions[i][host][n-1].To = at
 			}
 		}
 		for _, t := range r.Lists {
@@ -231,7 +231,7 @@
 					to = a.From
 				}
 			}
-			shuts[i][b.Host] = append(shuts[i][b.Host], shut{Span{b.From, to}, "banned"})
+			exclusions[i][b.Host] = append(exclusions[i][b.Host], exclusion{Span{b.From, to}, "banned"})
 		}
 	}
 	for _, x := range r.Pushes {
@@ -239,19 +239,19 @@
 		if !known {
 			continue
 		}
-		for _, s := range shuts[i][x.Host] {
+		for _, s := range exclusions[i][x.Host] {
 			late := x.ReceivedAt - s.From - drainGrace - r.Tolerance
-			if late <= 0 || s.To != 0 && x.ReceivedAt > s.To || r.Balancers[i].away(s.From, x.ReceivedAt) {
+			if late <= 0 || s.To != 0 && x.ReceivedAt > s.To || r.Balancers[i].wasOut(s.From, x.ReceivedAt) {
 				continue
 			}
 			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("%s pushed op %s to %s, %s %v before", r.Balancers[i].Name, x.OpID,
-				x.Host, s.why, (x.ReceivedAt - s.From).Round(time.Millisecond))})
+				x.Host, s.reason, (x.ReceivedAt - s.From).Round(time.Millisecond))})
 		}
 	}
 	return all
 }
 
-func (r *History) cold() (all []Violation) {
+func (r *History) checkColdHosts() (all []Violation) {
 	for _, x := range r.Pushes {
 		if x.CausedCrash {
 			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("%s was pushed over while it was cold", x.Host)})
@@ -260,7 +260,7 @@
 	return all
 }
 
-func (r *History) crashes() (all []Violation) {
+func (r *History) checkCrashes() (all []Violation) {
 	for _, w := range r.Balancers {
 		if w.Crash != "" {
 			at := time.Duration(0)
@@ -287,10 +287,10 @@
 	},
 }
 
-const valuesMost = 10 * time.Second // for one trial's search; what is not found in it is not held against anybody
+const valuesTimeout = 10 * time.Second // for one trial's search; what is not found in it is not held against anybody
 
 // values: a write with no yes may happen at any time after it was sent, or never; a read with none tells nothing.
-func (r *History) values() (all []Violation) {
+func (r *History) checkValues() (all []Violation) {
 	byKey, ran := map[string][]porcupine.Operation{}, map[string]bool{}
 	for _, x := range r.Pushes {
 		if x.Executed && x.Write {
@@ -309,8 +309,8 @@
 		case c.Write && ran[c.ID]:
 			op.Input, op.Return = access{c.ID}, int64(last)+int64(time.Hour)
 		case !c.Write && c.Outcome == Acked:
-			value, mine := strings.CutPrefix(c.Text, c.Key+" ")
-			if !mine {
+			value, isOwn := strings.CutPrefix(c.Text, c.Key+" ")
+			if !isOwn {
 				all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("read of %s gave %.60q", c.Key, c.Text)})
 				continue
 			}
@@ -322,7 +322,7 @@
 		op.Call -= int64(time.Millisecond)
 		byKey[c.Key] = append(byKey[c.Key], op)
 	}
-	end := time.Now().Add(valuesMost)
+	end := time.Now().Add(valuesTimeout)
 	for key, ops := range byKey {
 		if porcupine.CheckOperationsTimeout(register, ops, max(time.Until(end), time.Millisecond)) == porcupine.Illegal {
 			all = append(all, Violation{At: time.Duration(ops[0].Call), Text: fmt.Sprintf("%s: no order of its %d reads and writes explains what was read", key, len(ops))})
--- a/internal/trial/check_test.go
+++ b/internal/trial/check_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// kept is a history in which all rules are kept, with something of everything.
-func kept() *History {
+// validHistory is a history in which all rules are kept, with something of everything.
+func validHistory() *History {
 	return &History{
 		Tolerance: 10 * ms,
 		Balancers: []BalancerRecord{
@@ -41,8 +41,8 @@
 }
 
 // Each checker finds a history that breaks just its rule.
-func TestCheckersCanFail(t *testing.T) {
-	if all := kept().Check(); len(all) > 0 {
+func TestCheckersDetectViolations(t *testing.T) {
+	if all := validHistory().Check(); len(all) > 0 {
 		t.Fatalf("the history that keeps all: %v", all)
 	}
 	run := func(r *History, x standin.ReceivedPush) { r.Pushes = append(r.Pushes, x) }
@@ -87,7 +87,7 @@
 		{"values", "read another key's value", func(r *History) { r.Calls[2].Text = "j w1" }},
 		{"crashes", "ended by itself", func(r *History) { r.Balancers[0].Crash = "panic: x" }},
 	} {
-		r := kept()
+		r := validHistory()
 		c.spoil(r)
 		all := r.Check()
 		if len(all) != 1 || all[0].Rule != c.rule {
@@ -97,7 +97,7 @@
 }
 
 // What a balancer could not help is not held against it.
-func TestNotHeldAgainst(t *testing.T) {
+func TestExcusedBehavior(t *testing.T) {
 	for name, change := range map[string]func(r *History){
 		"told while it stood still": func(r *History) {
 			r.Lists = append(r.Lists, standin.SentList{View: "b3", SentAt: 5100 * ms, Phases: map[string]string{"h3": standin.Terminated}})
@@ -125,7 +125,7 @@
 			r.Pushes[0].ClientIP, r.Pushes[0].ReceivedAt = "s3", 6050*ms
 		},
 	} {
-		r := kept()
+		r := validHistory()
 		change(r)
 		if all := r.Check(); len(all) > 0 {
 			t.Errorf("%s: %v", name, all)
@@ -135,7 +135,7 @@
 
 // A table for people names each break in words.
 func ExampleResult_BrokenRules() {
-	r := kept()
+	r := validHistory()
 	r.Calls[0].ExtraAnswers = 1
 	r.Balancers[1].Crash = "fatal error: x"
 	x := Result{Violations: r.Check()}
--- a/internal/trial/cluster.go
+++ b/internal/trial/cluster.go
@@ -25,22 +25,22 @@
 )
 
 const (
-	target     = 200 * time.Millisecond // of each category
-	ttl        = 600 * time.Millisecond
-	dropsFor   = 400 * time.Millisecond // repeats of a deduplicated op
-	coldFor    = 2 * time.Second        // until a restarted host is warm
-	coldShare  = 0.3                    // part of its capacity at which it starts
-	tipTimes   = 3.0                    // sent so many times what it can do
-	tipFor     = time.Second            // for so long, a cold host falls
-	drainGrace = time.Second            // after a balancer was told, nothing new goes to a draining or banned host
-	memoryMB   = 192
-	sockets    = 2048
-	settle     = 300 * time.Millisecond // from the fleet's start to the first op
-	callMost   = 2 * time.Second        // for an operators' call
+	targetLatency    = 200 * time.Millisecond // of each category
+	ttl              = 600 * time.Millisecond
+	dedupWindow      = 400 * time.Millisecond // repeats of a deduplicated op
+	warmupTime       = 2 * time.Second        // until a restarted host is warm
+	coldShare        = 0.3                    // part of its capacity at which it starts
+	overloadMultiple = 3.0                    // sent so many times what it can do
+	overloadWindow   = time.Second            // for so long, a cold host falls
+	drainGrace       = time.Second            // after a balancer was told, nothing new goes to a draining or banned host
+	memoryMB         = 192
+	sockets          = 2048
+	settleTime       = 300 * time.Millisecond // from the fleet's start to the first op
+	adminTimeout     = 2 * time.Second        // for an operators' call
 )
 
-// categories are what ops there are, and how they may be repeated.
-var categories = map[string]string{"read": "retryable", "put": "dedup", "once": "fragile"}
+// repeatModes are what ops there are, and how they may be repeated.
+var repeatModes = map[string]string{"read": "retryable", "put": "dedup", "once": "fragile"}
 
 // Cluster is the processes, links and stand-ins of a trial, on which Run plays a plan.
 type Cluster struct {
@@ -51,8 +51,8 @@
 
 	plan      Plan
 	dir       string
-	at        addresses
-	shell     *shell
+	addresses addressSpace
+	launcher  *launcher
 	fleet     *standin.Fleet
 	processes []*Process
 	listens   []string
@@ -62,7 +62,7 @@
 	admins   []string
 	injected []string
 	bans     []Ban
-	broken   []error // what the cluster itself could not do
+	errs     []error // what the cluster itself could not do
 }
 
 // Ban is a host taken out by hand at a balancer. It binds from that balancer's yes to the call that ends it.
@@ -74,38 +74,38 @@
 // Run plays a plan, and returns what came of it. An error is the cluster's own: the plan can't be played here, or was broken
 // off. What the plan breaks stands in the result.
 func (c *Cluster) Run(ctx context.Context, p Plan) (*Result, error) {
-	if err := p.check([]int{0, 0}); err != nil {
+	if err := p.validate([]int{0, 0}); err != nil {
 		return nil, err
 	}
 	if c.Logf == nil {
 		c.Logf = func(string, ...any) {}
 	}
 	*c = Cluster{Program: c.Program, Args: c.Args, Env: c.Env, Logf: c.Logf, plan: p}
-	defer c.end()
+	defer c.cleanup()
 	if err := c.start(); err != nil {
 		return nil, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	began := c.fleet.Elapsed()
 	l := newLoad(p, c.listens, c.fleet.Elapsed)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var both sync.WaitGroup
-	both.Add(1)
+	var wg sync.WaitGroup
+	wg.Add(1)
 	go func() {
-		defer both.Done()
+		defer wg.Done()
 		c.injectAll(ctx, began)
 	}()
 	err := l.run(ctx, began, func(at time.Duration, sent int) { c.Logf("%4.0f s  %d ops\n", at.Seconds(), sent) })
-	both.Wait()
+	wg.Wait()
 	if err != nil {
 		return nil, err
 	}
-	return c.result(began, l), nil
+	return c.buildResult(began, l), nil
 }
 
-// end ends all that start began.
-func (c *Cluster) end() {
+// cleanup ends all that start began.
+func (c *Cluster) cleanup() {
 	for _, p := range c.processes {
 		p.Kill()
 	}
@@ -115,8 +115,8 @@
 	if c.fleet != nil {
 		c.fleet.Close()
 	}
-	if c.shell != nil {
-		c.shell.close()
+	if c.launcher != nil {
+		c.launcher.close()
 	}
 	os.RemoveAll(c.dir)
 }
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -13,109 +13,109 @@
 	"larchthread/internal/standin"
 )
 
-// unit of a fault's By.
-type unit int
+// magnitudeUnit of a fault's By.
+type magnitudeUnit int
 
 const (
-	none   unit = iota
-	part        // 0 to 1
-	factor      // above 1
-	count       // a whole number, 1 or more
-	span        // a time
-	rate        // bytes a second
-	jump        // a time, either way
-	word        // one of those in spoils
+	noMagnitude    magnitudeUnit = iota
+	fraction                     // 0 to 1
+	factor                       // above 1
+	count                        // a whole number, 1 or more
+	duration                     // a time
+	byteRate                     // bytes a second
+	signedDuration               // a time, either way
+	diskMode                     // one of those in spoils
 )
 
-// where a kind of fault is injected.
-type where int
+// faultSite a kind of fault is injected.
+type faultSite int
 
 const (
-	balancers where = iota
-	hosts
-	servers // hosts and the origin
-	lists   // discovery
-	links
+	atBalancers faultSite = iota
+	atHosts
+	atServers   // hosts and the origin
+	atDiscovery // discovery
+	atLinks
 )
 
-// kind is a kind of fault.
-type kind struct {
-	where   where
-	by      unit
-	instant bool   // it has no end of its own
-	text    string // for people
-	draw    float64
+// faultKind is a kind of fault.
+type faultKind struct {
+	site        faultSite
+	unit        magnitudeUnit
+	instant     bool   // it has no end of its own
+	description string // for people
+	weight      float64
 }
 
 // Discovery is its name in plans.
-const discovery = "discovery"
+const discoveryID = "discovery"
 
-// kinds are all of them. draw is how likely a drawn plan has one, and the mildest or worst By stands in drawn.
-var kinds = map[string]kind{
-	"kill":    {balancers, none, false, "SIGKILL; started again at the end", 2},
-	"term":    {balancers, none, false, "SIGTERM; started again at the end", 1},
-	"freeze":  {balancers, none, false, "SIGSTOP; goes on at the end", 2},
-	"wipe":    {balancers, none, false, "SIGKILL, the disk lost; started again at the end", 0.5},
-	"upgrade": {balancers, none, true, "a new process takes over, the old one gets SIGTERM", 1},
-	"disk":    {balancers, word, false, "files fail: by write, sync, rename, full, hang or torn (program built with -tags faults)", 0},
-	"clock":   {balancers, jump, false, "the wall clock is off by so much, for what starts meanwhile too (-tags faults)", 0},
-	"die":     {hosts, none, false, "the process ends; back at the end, empty and cold", 2},
-	"hang":    {servers, none, false, "takes ops and answers nothing", 2},
-	"slow":    {servers, factor, false, "an op takes so many times its work", 2},
-	"errors":  {servers, part, false, "so many ops end in an error, once the work is done", 1},
-	"resets":  {servers, part, false, "so many answers are lost with their connection", 1},
-	"table":   {hosts, count, false, "takes so many connections and no more", 0.5},
-	"void":    {hosts, none, true, "forgets all that it holds", 0.5},
-	"drain":   {hosts, none, false, "listed as draining; back in service at the end", 1},
-	"remove":  {hosts, none, false, "listed as draining, then gone; restarted, cold, at the end", 1},
-	"ban":     {hosts, none, false, "taken out by hand at all balancers; put back at the end", 1},
-	"silent":  {lists, none, false, "takes calls and answers none", 1},
-	"late":    {lists, span, false, "changes are shown so much later", 1},
-	"cut":     {links, none, false, "connections are reset, new ones refused", 1},
-	"hole":    {links, none, false, "bytes are lost; connections hang and are reset at the end", 2},
-	"delay":   {links, span, false, "each byte is so late, and up to half as much again by chance", 1},
-	"rate":    {links, rate, false, "so many bytes a second", 0.5},
-	"sever":   {links, count, false, "a connection is reset once so many bytes have passed", 1},
-	"single":  {links, none, false, "one connection at a time; further ones are refused", 0.5},
+// faultKinds are all of them. draw is how likely a drawn plan has one, and the mildest or worst By stands in drawn.
+var faultKinds = map[string]faultKind{
+	"kill":    {atBalancers, noMagnitude, false, "SIGKILL; started again at the end", 2},
+	"term":    {atBalancers, noMagnitude, false, "SIGTERM; started again at the end", 1},
+	"freeze":  {atBalancers, noMagnitude, false, "SIGSTOP; goes on at the end", 2},
+	"wipe":    {atBalancers, noMagnitude, false, "SIGKILL, the disk lost; started again at the end", 0.5},
+	"upgrade": {atBalancers, noMagnitude, true, "a new process takes over, the old one gets SIGTERM", 1},
+	"disk":    {atBalancers, diskMode, false, "files fail: by write, sync, rename, full, hang or torn (program built with -tags faults)", 0},
+	"clock":   {atBalancers, signedDuration, false, "the wall clock is off by so much, for what starts meanwhile too (-tags faults)", 0},
+	"die":     {atHosts, noMagnitude, false, "the process ends; back at the end, empty and cold", 2},
+	"hang":    {atServers, noMagnitude, false, "takes ops and answers nothing", 2},
+	"slow":    {atServers, factor, false, "an op takes so many times its work", 2},
+	"errors":  {atServers, fraction, false, "so many ops end in an error, once the work is done", 1},
+	"resets":  {atServers, fraction, false, "so many answers are lost with their connection", 1},
+	"table":   {atHosts, count, false, "takes so many connections and no more", 0.5},
+	"void":    {atHosts, noMagnitude, true, "forgets all that it holds", 0.5},
+	"drain":   {atHosts, noMagnitude, false, "listed as draining; back in service at the end", 1},
+	"remove":  {atHosts, noMagnitude, false, "listed as draining, then gone; restarted, cold, at the end", 1},
+	"ban":     {atHosts, noMagnitude, false, "taken out by hand at all balancers; put back at the end", 1},
+	"silent":  {atDiscovery, noMagnitude, false, "takes calls and answers none", 1},
+	"late":    {atDiscovery, duration, false, "changes are shown so much later", 1},
+	"cut":     {atLinks, noMagnitude, false, "connections are reset, new ones refused", 1},
+	"hole":    {atLinks, noMagnitude, false, "bytes are lost; connections hang and are reset at the end", 2},
+	"delay":   {atLinks, duration, false, "each byte is so late, and up to half as much again by chance", 1},
+	"rate":    {atLinks, byteRate, false, "so many bytes a second", 0.5},
+	"sever":   {atLinks, count, false, "a connection is reset once so many bytes have passed", 1},
+	"single":  {atLinks, noMagnitude, false, "one connection at a time; further ones are refused", 0.5},
 }
 
-// spoils are the ways in which a process's files may fail (package machine).
-var spoils = []string{"write", "sync", "rename", "full", "hang", "torn"}
+// diskModes are the ways in which a process's files may fail (package machine).
+var diskModes = []string{"write", "sync", "rename", "full", "hang", "torn"}
 
 // FaultTable is a table of all kinds of fault, for people.
 func FaultTable() string {
 	var b strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(kinds)) {
-		k := kinds[name]
-		fmt.Fprintf(&b, "%-8s %-10s %s\n", name, k.where, k.text)
+	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
+		k := faultKinds[name]
+		fmt.Fprintf(&b, "%-8s %-10s %s\n", name, k.site, k.description)
 	}
 	return b.String()
 }
 
-func (w where) String() string {
-	return [...]string{"balancers", "hosts", "hosts, origin", discovery, "links"}[w]
+func (w faultSite) String() string {
+	return [...]string{"balancers", "hosts", "hosts, origin", discoveryID, "links"}[w]
 }
 
 // targets are the parts that a fault is injected into; for links the balancers and the parts.
 func (x Fault) targets(f Fleet) (of, to []string, err error) {
-	k := kinds[x.Kind]
-	switch k.where {
-	case balancers:
-		of, err = f.parts(x.Parts, f.balancers())
-	case hosts:
-		of, err = f.parts(x.Parts, f.hosts())
-	case servers:
-		of, err = f.parts(x.Parts, append(f.hosts(), standin.OriginID))
-	case lists:
+	k := faultKinds[x.Kind]
+	switch k.site {
+	case atBalancers:
+		of, err = f.resolveParts(x.Parts, f.balancers())
+	case atHosts:
+		of, err = f.resolveParts(x.Parts, f.hosts())
+	case atServers:
+		of, err = f.resolveParts(x.Parts, append(f.hosts(), standin.OriginID))
+	case atDiscovery:
 		if len(x.Parts) > 0 {
-			of, err = f.parts(x.Parts, []string{discovery})
+			of, err = f.resolveParts(x.Parts, []string{discoveryID})
 		}
 		return of, nil, err
-	case links:
-		if of, err = f.parts(x.From, f.balancers()); err != nil {
+	case atLinks:
+		if of, err = f.resolveParts(x.From, f.balancers()); err != nil {
 			return nil, nil, fmt.Errorf("from: %w", err)
 		}
-		if to, err = f.parts(x.To, append(f.hosts(), standin.OriginID, discovery)); err != nil {
+		if to, err = f.resolveParts(x.To, append(f.hosts(), standin.OriginID, discoveryID)); err != nil {
 			return nil, nil, fmt.Errorf("to: %w", err)
 		}
 		if len(to) == 0 {
@@ -131,49 +131,49 @@
 	return of, to, nil
 }
 
-// check names what is wrong with a fault.
-func (x Fault) check(p Plan) (all []error) {
-	k, known := kinds[x.Kind]
+// validate names what is wrong with a fault.
+func (x Fault) validate(p Plan) (all []error) {
+	k, known := faultKinds[x.Kind]
 	if !known {
-		return []error{fmt.Errorf("what: %.40q, want one of %s", x.Kind, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))}
+		return []error{fmt.Errorf("what: %.40q, want one of %s", x.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))}
 	}
-	bad := func(there bool, form string, a ...any) {
-		if there {
-			all = append(all, fmt.Errorf(form, a...))
+	addIf := func(invalid bool, format string, a ...any) {
+		if invalid {
+			all = append(all, fmt.Errorf(format, a...))
 		}
 	}
 	_, _, err := x.targets(p.Fleet)
-	bad(err != nil, "%s: %v", x.Kind, err)
-	bad(k.where != links && len(x.From)+len(x.To) > 0, "%s: applies to %v, which of names; from and to are for links", x.Kind, k.where)
-	bad(k.where == links && len(x.Parts) > 0, "%s: applies to links, which from and to name", x.Kind)
-	bad(!k.instant && x.Duration <= 0, "%s: for: missing", x.Kind)
-	bad(k.instant && x.Duration > 0, "%s: for: it has no end", x.Kind)
-	bad(x.At+x.Duration > p.Load.Duration, "%s: ends at %v, after the load, which lasts %v", x.Kind, (x.At + x.Duration).d(), p.Load.Duration.d())
-	bad(x.Direction != "" && (k.where != links || !slices.Contains([]string{"out", "back", "both"}, x.Direction)),
+	addIf(err != nil, "%s: %v", x.Kind, err)
+	addIf(k.site != atLinks && len(x.From)+len(x.To) > 0, "%s: applies to %v, which of names; from and to are for links", x.Kind, k.site)
+	addIf(k.site == atLinks && len(x.Parts) > 0, "%s: applies to links, which from and to name", x.Kind)
+	addIf(!k.instant && x.Duration <= 0, "%s: for: missing", x.Kind)
+	addIf(k.instant && x.Duration > 0, "%s: for: it has no end", x.Kind)
+	addIf(x.At+x.Duration > p.Load.Duration, "%s: ends at %v, after the load, which lasts %v", x.Kind, (x.At + x.Duration).d(), p.Load.Duration.d())
+	addIf(x.Direction != "" && (k.site != atLinks || !slices.Contains([]string{"out", "back", "both"}, x.Direction)),
 		"%s: way: %.20q, want out, back or both, and that of links", x.Kind, x.Direction)
-	bad(x.Program != "" && x.Kind != "upgrade", "%s: with: it takes none", x.Kind)
-	bad(k.by == none && x.Magnitude != "", "%s: by: %.20q, it takes none", x.Kind, x.Magnitude)
-	if k.by != none {
+	addIf(x.Program != "" && x.Kind != "upgrade", "%s: with: it takes none", x.Kind)
+	addIf(k.unit == noMagnitude && x.Magnitude != "", "%s: by: %.20q, it takes none", x.Kind, x.Magnitude)
+	if k.unit != noMagnitude {
 		n, err := x.Magnitude.number()
 		ok := err == nil
-		switch k.by {
-		case part:
+		switch k.unit {
+		case fraction:
 			ok = ok && n > 0 && n <= 1
 		case factor:
 			ok = ok && n > 1 && n <= 1000
-		case count, rate:
+		case count, byteRate:
 			ok = ok && n >= 1 && n <= 1e9
-		case span:
+		case duration:
 			_, err := time.ParseDuration(string(x.Magnitude))
 			ok = ok && err == nil && n >= 0 && n <= 60000
-		case jump:
+		case signedDuration:
 			_, err := time.ParseDuration(string(x.Magnitude))
 			ok = ok && err == nil
-		case word:
-			ok = slices.Contains(spoils, string(x.Magnitude))
+		case diskMode:
+			ok = slices.Contains(diskModes, string(x.Magnitude))
 		}
-		bad(!ok, "%s: by: %.20q, want %s", x.Kind, x.Magnitude, [...]string{"", "a part above 0, at most 1", "a factor above 1, at most 1000",
-			"a count, 1 or more", "a time, at most 60s", "bytes a second, 1 or more", "a time", "one of " + strings.Join(spoils, ", ")}[k.by])
+		addIf(!ok, "%s: by: %.20q, want %s", x.Kind, x.Magnitude, [...]string{"", "a part above 0, at most 1", "a factor above 1, at most 1000",
+			"a count, 1 or more", "a time, at most 60s", "bytes a second, 1 or more", "a time", "one of " + strings.Join(diskModes, ", ")}[k.unit])
 	}
 	return all
 }
@@ -195,30 +195,30 @@
 	return text
 }
 
-// ordered are the faults by time; of one time, in the order of the plan.
-func (p Plan) ordered() []Fault {
+// sortedFaults are the faults by time; of one time, in the order of the plan.
+func (p Plan) sortedFaults() []Fault {
 	all := slices.Clone(p.Faults)
 	slices.SortStableFunc(all, func(x, y Fault) int { return cmp.Compare(x.At, y.At) })
 	return all
 }
 
-// drawn is a By for each unit and kind, between mild and bad.
-func drawn(rng *rand.Rand, name string) Magnitude {
+// randomMagnitude is a By for each unit and kind, between mild and bad.
+func randomMagnitude(rng *rand.Rand, name string) Magnitude {
 	between := func(least, most float64) float64 { return least + (most-least)*rng.Float64() }
-	switch k := kinds[name]; {
-	case k.by == part:
+	switch k := faultKinds[name]; {
+	case k.unit == fraction:
 		return Magnitude(strconv.FormatFloat(between(0.1, 0.9), 'f', 2, 64))
-	case k.by == factor:
+	case k.unit == factor:
 		return Magnitude(strconv.FormatFloat(between(3, 40), 'f', 0, 64))
 	case name == "table":
 		return Magnitude(strconv.Itoa(1 + rng.IntN(8)))
 	case name == "sever":
 		return Magnitude(strconv.Itoa(100 + rng.IntN(20000)))
-	case k.by == rate:
+	case k.unit == byteRate:
 		return Magnitude(strconv.Itoa(2000 + rng.IntN(50000)))
 	case name == "late":
 		return Magnitude(time.Duration(between(200, 2500) * float64(time.Millisecond)).Round(time.Millisecond).String())
-	case k.by == span:
+	case k.unit == duration:
 		return Magnitude(time.Duration(between(5, 150) * float64(time.Millisecond)).Round(time.Millisecond).String())
 	}
 	return ""
@@ -230,10 +230,10 @@
 	p := DefaultPlan()
 	p.Name, p.Seed = fmt.Sprintf("drawn %d", seed), seed
 	p.Load.Rate = float64(100 + rng.IntN(400))
-	names := slices.Sorted(maps.Keys(kinds))
+	names := slices.Sorted(maps.Keys(faultKinds))
 	sum := 0.0
 	for _, n := range names {
-		sum += kinds[n].draw
+		sum += faultKinds[n].weight
 	}
 	pick := func(among []string, most int) (all []string) {
 		for _, i := range rng.Perm(len(among))[:1+rng.IntN(min(most, len(among)))] {
@@ -243,36 +243,36 @@
 		return all
 	}
 	// All overlap at the middle: each begins before it and ends after it.
-	half := p.Load.Duration.d() / 2
+	middle := p.Load.Duration.d() / 2
 	for range 2 + rng.IntN(3) {
 		at := rng.Float64() * sum
 		name := names[len(names)-1]
 		for _, n := range names {
-			if at -= kinds[n].draw; at < 0 {
+			if at -= faultKinds[n].weight; at < 0 {
 				name = n
 				break
 			}
 		}
-		k := kinds[name]
-		begin := half/4 + time.Duration(rng.Int64N(int64(half/2)))
-		x := Fault{At: Duration(begin.Round(time.Millisecond)), Kind: name, Magnitude: drawn(rng, name)}
+		k := faultKinds[name]
+		begin := middle/4 + time.Duration(rng.Int64N(int64(middle/2)))
+		x := Fault{At: Duration(begin.Round(time.Millisecond)), Kind: name, Magnitude: randomMagnitude(rng, name)}
 		if !k.instant {
-			x.Duration = Duration((half - begin + half/8 + time.Duration(rng.Int64N(int64(half/2)))).Round(time.Millisecond))
+			x.Duration = Duration((middle - begin + middle/8 + time.Duration(rng.Int64N(int64(middle/2)))).Round(time.Millisecond))
 		}
-		switch k.where {
-		case balancers:
+		switch k.site {
+		case atBalancers:
 			x.Parts = pick(p.Fleet.balancers(), 1)
-		case hosts:
+		case atHosts:
 			x.Parts = pick(p.Fleet.hosts(), 2)
-		case servers:
+		case atServers:
 			x.Parts = pick(append(p.Fleet.hosts(), standin.OriginID), 2)
-		case links:
+		case atLinks:
 			x.From = pick(p.Fleet.balancers(), 2)
-			x.To = pick(append(p.Fleet.hosts(), standin.OriginID, discovery), 3)
+			x.To = pick(append(p.Fleet.hosts(), standin.OriginID, discoveryID), 3)
 			x.Direction = []string{"out", "back", "both"}[rng.IntN(3)]
 		}
 		p.Faults = append(p.Faults, x)
 	}
-	p.Faults = p.ordered()
+	p.Faults = p.sortedFaults()
 	return p
 }
--- a/internal/trial/inject.go
+++ b/internal/trial/inject.go
@@ -13,30 +13,30 @@
 	"larchthread/internal/standin"
 )
 
-// moment is a fault's beginning or end.
-type moment struct {
+// faultEvent is a fault's beginning or end.
+type faultEvent struct {
 	at    time.Duration
 	fault Fault
 	end   bool
 }
 
-// moments are all beginnings and ends in their order: by time, of one time ends first, then as the plan has them. So two
+// events are all beginnings and ends in their order: by time, of one time ends first, then as the plan has them. So two
 // faults of one instant are injected in the same order each time.
-func (p Plan) moments() (all []moment) {
-	for _, x := range p.ordered() {
-		all = append(all, moment{x.At.d(), x, false})
+func (p Plan) events() (all []faultEvent) {
+	for _, x := range p.sortedFaults() {
+		all = append(all, faultEvent{x.At.d(), x, false})
 		if x.Duration > 0 {
-			all = append(all, moment{(x.At + x.Duration).d(), x, true})
+			all = append(all, faultEvent{(x.At + x.Duration).d(), x, true})
 		}
 	}
-	slices.SortStableFunc(all, func(x, y moment) int {
-		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(order(x.end), order(y.end)))
+	slices.SortStableFunc(all, func(x, y faultEvent) int {
+		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(eventOrder(x.end), eventOrder(y.end)))
 	})
 	return all
 }
 
-// order has ends come before beginnings.
-func order(end bool) int {
+// eventOrder has ends come before beginnings.
+func eventOrder(end bool) int {
 	if end {
 		return 0
 	}
@@ -45,10 +45,10 @@
 
 // injectAll injects the plan's faults. Each has its turn, and what takes its time goes on beside the next.
 func (c *Cluster) injectAll(ctx context.Context, began time.Duration) {
-	var slow sync.WaitGroup
-	defer slow.Wait()
-	lanes := map[string]chan struct{}{} // a fault of a process waits for the one before it
-	for _, m := range c.plan.moments() {
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	queues := map[string]chan struct{}{} // a fault of a process waits for the one before it
+	for _, m := range c.plan.events() {
 		select {
 		case <-time.After(began + m.at - c.fleet.Elapsed()):
 		case <-ctx.Done():
@@ -62,31 +62,31 @@
 		c.injected = append(c.injected, text)
 		c.mu.Unlock()
 		c.Logf("%s\n", text)
-		k := kinds[m.fault.Kind]
-		if k.where != balancers && m.fault.Kind != "ban" {
-			c.failed(c.inject(m.fault, m.end, began))
+		k := faultKinds[m.fault.Kind]
+		if k.site != atBalancers && m.fault.Kind != "ban" {
+			c.recordError(c.inject(m.fault, m.end, began))
 			continue
 		}
-		lane := strings.Join(m.fault.Parts, ",")
-		before, done := lanes[lane], make(chan struct{})
-		lanes[lane] = done
-		slow.Add(1)
+		queue := strings.Join(m.fault.Parts, ",")
+		previous, done := queues[queue], make(chan struct{})
+		queues[queue] = done
+		pending.Add(1)
 		go func() {
-			defer slow.Done()
+			defer pending.Done()
 			defer close(done)
-			if before != nil {
-				<-before
+			if previous != nil {
+				<-previous
 			}
-			c.failed(c.inject(m.fault, m.end, began))
+			c.recordError(c.inject(m.fault, m.end, began))
 		}()
 	}
 }
 
-func (c *Cluster) failed(err error) {
+func (c *Cluster) recordError(err error) {
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.broken = append(c.broken, err)
+		c.errs = append(c.errs, err)
 	}
 }
 
@@ -96,31 +96,31 @@
 	if err != nil {
 		return err
 	}
-	switch kinds[x.Kind].where {
-	case balancers:
-		return each(of, func(name string) error { return c.injectProcessFault(x, name, end) })
-	case hosts, servers:
-		return each(of, func(name string) error { return c.injectServerFault(x, name, end) })
-	case lists:
+	switch faultKinds[x.Kind].site {
+	case atBalancers:
+		return forEach(of, func(name string) error { return c.injectProcessFault(x, name, end) })
+	case atHosts, atServers:
+		return forEach(of, func(name string) error { return c.injectServerFault(x, name, end) })
+	case atDiscovery:
 		if x.Kind == "silent" {
 			c.fleet.Discovery.SetSilent(!end)
 			return nil
 		}
-		late := time.Duration(0)
+		delay := time.Duration(0)
 		if ms, err := x.Magnitude.number(); !end && err == nil {
-			late = time.Duration(ms * float64(time.Millisecond))
+			delay = time.Duration(ms * float64(time.Millisecond))
 		}
-		c.fleet.Discovery.SetDelay(late)
-	case links:
-		return each(of, func(b string) error {
-			return each(to, func(part string) error { c.injectLinkFault(x, c.links[[2]string{b, part}], end); return nil })
+		c.fleet.Discovery.SetDelay(delay)
+	case atLinks:
+		return forEach(of, func(b string) error {
+			return forEach(to, func(part string) error { c.injectLinkFault(x, c.links[[2]string{b, part}], end); return nil })
 		})
 	}
 	return nil
 }
 
-// each does something for all names, and joins what went wrong.
-func each(names []string, do func(name string) error) error {
+// forEach does something for all names, and joins what went wrong.
+func forEach(names []string, do func(name string) error) error {
 	var all []error
 	for _, n := range names {
 		all = append(all, do(n))
@@ -129,21 +129,21 @@
 }
 
 func (c *Cluster) injectProcessFault(x Fault, name string, end bool) error {
-	i := place(name)
+	i := partIndex(name)
 	p := c.processes[i]
 	switch {
 	case x.Kind == "disk" && end:
-		return p.spoil("disk well")
+		return p.sendFault("disk well")
 	case x.Kind == "disk":
-		return p.spoil("disk " + string(x.Magnitude))
+		return p.sendFault("disk " + string(x.Magnitude))
 	case x.Kind == "clock" && end:
-		return p.spoil("clock 0s")
+		return p.sendFault("clock 0s")
 	case x.Kind == "clock":
-		return p.spoil("clock " + string(x.Magnitude))
+		return p.sendFault("clock " + string(x.Magnitude))
 	case x.Kind == "freeze" && end:
 		return p.Thaw()
 	case end:
-		return c.launch(i, func() error { return c.rewrite(i) })
+		return c.launch(i, func() error { return c.rewriteConfig(i) })
 	case x.Kind == "kill":
 		return p.Kill()
 	case x.Kind == "term":
@@ -157,7 +157,7 @@
 	if x.Program != "" {
 		program = x.Program
 	}
-	return p.replace(func() error { return c.rewrite(i) }, program, c.Args...)
+	return p.replace(func() error { return c.rewriteConfig(i) }, program, c.Args...)
 }
 
 func (c *Cluster) injectServerFault(x Fault, name string, end bool) error {
@@ -180,49 +180,49 @@
 		c.fleet.Origin.SetFaultMode(mode)
 		return nil
 	}
-	h := c.fleet.Hosts()[place(name)]
-	lists := c.fleet.Discovery
+	h := c.fleet.Hosts()[partIndex(name)]
+	discovery := c.fleet.Discovery
 	switch x.Kind {
 	case "die":
 		if !end {
 			h.Kill()
-			return lists.SetPhase(name, standin.Terminated, 0)
+			return discovery.SetPhase(name, standin.Terminated, 0)
 		}
-		return errors.Join(h.Start(), lists.SetPhase(name, standin.InService, c.fleet.Elapsed()))
+		return errors.Join(h.Start(), discovery.SetPhase(name, standin.InService, c.fleet.Elapsed()))
 	case "void":
 		h.Clear()
 	case "drain":
 		if end {
-			return lists.SetPhase(name, standin.InService, 0)
+			return discovery.SetPhase(name, standin.InService, 0)
 		}
-		return lists.SetPhase(name, standin.Terminating, 0)
+		return discovery.SetPhase(name, standin.Terminating, 0)
 	case "remove":
 		if end {
 			h.Kill()
-			return errors.Join(h.Start(), lists.SetPhase(name, standin.InService, c.fleet.Elapsed()))
+			return errors.Join(h.Start(), discovery.SetPhase(name, standin.InService, c.fleet.Elapsed()))
 		}
-		return errors.Join(lists.SetPhase(name, standin.Terminating, 0), lists.SetPhase(name, standin.Terminated, 0))
+		return errors.Join(discovery.SetPhase(name, standin.Terminating, 0), discovery.SetPhase(name, standin.Terminated, 0))
 	case "ban":
-		return each(c.plan.Fleet.balancers(), func(b string) error { return c.ban(b, name, end) })
+		return forEach(c.plan.Fleet.balancers(), func(b string) error { return c.setBan(b, name, end) })
 	default:
 		h.SetFaultMode(mode)
 	}
 	return nil
 }
 
-// ban takes a host out by hand at one balancer, or puts it back. A balancer that is not there can't be told: what it does
+// setBan takes a host out by hand at one balancer, or puts it back. A balancer that is not there can't be told: what it does
 // not know does not bind it.
-func (c *Cluster) ban(balancer, host string, end bool) error {
-	i := place(balancer)
+func (c *Cluster) setBan(balancer, host string, end bool) error {
+	i := partIndex(balancer)
 	c.mu.Lock()
 	admin := c.admins[i]
 	c.mu.Unlock()
 	path := "/maintenance/enter"
 	if end {
 		path = "/maintenance/exit"
-		c.unban(balancer, host)
+		c.endBan(balancer, host)
 	}
-	status, text, err := call(admin, "POST", path, host)
+	status, text, err := callAdmin(admin, "POST", path, host)
 	if err != nil || status != 200 {
 		c.Logf("        %s %s at %s: %d %s %v\n", path, host, balancer, status, text, err)
 		return nil
@@ -235,7 +235,7 @@
 	return nil
 }
 
-func (c *Cluster) unban(balancer, host string) {
+func (c *Cluster) endBan(balancer, host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.bans {
--- a/internal/trial/link.go
+++ b/internal/trial/link.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	pieceSize = 16 << 10 // bytes that a link reads at once
-	pieces    = 64       // that it holds for each direction of a connection; then the sender has to wait
+	chunkSize       = 16 << 10 // bytes that a link reads at once
+	maxQueuedChunks = 64       // that it holds for each direction of a connection; then the sender has to wait
 )
 
 // Direction is a direction of a link.
@@ -48,16 +48,16 @@
 	cut         bool
 	single      bool // one connection at a time: further ones are refused
 	impairments [2]Impairment
-	change      chan struct{} // closed with each change
+	changed     chan struct{} // closed with each change
 	connections map[*proxiedConn]bool
-	ended       bool
+	closed      bool
 }
 
 // proxiedConn is a connection and the one that goes on behind the link.
 type proxiedConn struct {
-	near, far net.Conn
-	tainted   bool // bytes were lost on it
-	left      [2]int
+	near, far  net.Conn
+	lostBytes  bool // bytes were lost on it
+	untilReset [2]int
 }
 
 func newLink(balancer, part, ip string, source net.IP, seed uint64, target func() string) (*Link, error) {
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("link %s to %s: %w", balancer, part, err)
 	}
 	l := &Link{Balancer: balancer, Part: part, target: target, source: source, address: listener.Addr().String(),
-		listener: listener, rng: rand.New(rand.NewPCG(seed, 3)), change: make(chan struct{}), connections: map[*proxiedConn]bool{}}
+		listener: listener, rng: rand.New(rand.NewPCG(seed, 3)), changed: make(chan struct{}), connections: map[*proxiedConn]bool{}}
 	go l.accept()
 	return l, nil
 }
@@ -92,7 +92,7 @@
 			j.reset()
 		}
 	}
-	l.changed()
+	l.notifyChanged()
 }
 
 // SetSingle has a second connection refused while one is open.
@@ -109,28 +109,28 @@
 	was := l.impairments[w]
 	l.impairments[w] = f
 	for j := range l.connections {
-		j.left[w] = f.ResetAfter
-		if was.Blackhole && !f.Blackhole && j.tainted {
+		j.untilReset[w] = f.ResetAfter
+		if was.Blackhole && !f.Blackhole && j.lostBytes {
 			j.reset()
 		}
 	}
-	l.changed()
+	l.notifyChanged()
 }
 
-func (l *Link) changed() {
-	close(l.change)
-	l.change = make(chan struct{})
+func (l *Link) notifyChanged() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 func (l *Link) close() {
 	l.listener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
+	l.closed = true
 	for j := range l.connections {
 		j.reset()
 	}
-	l.changed()
+	l.notifyChanged()
 }
 
 func (j *proxiedConn) reset() {
@@ -144,20 +144,20 @@
 		if err != nil {
 			return
 		}
-		go l.join(c)
+		go l.proxy(c)
 	}
 }
 
-// join goes on behind the link. A connection that can't is reset, as if it had been refused. In a hole none comes up: what
+// proxy goes on behind the link. A connection that can't is reset, as if it had been refused. In a hole none comes up: what
 // asked for one is reset once that is over, with all that it has sent.
-func (l *Link) join(c net.Conn) {
+func (l *Link) proxy(c net.Conn) {
 	j := &proxiedConn{near: c, far: c}
-	for waited := false; ; waited = true {
+	for hasWaited := false; ; hasWaited = true {
 		l.mu.Lock()
-		refused := l.cut || l.ended || l.single && len(l.connections) > 0
-		hole, change := l.impairments[Out].Blackhole || l.impairments[Back].Blackhole, l.change
+		refused := l.cut || l.closed || l.single && len(l.connections) > 0
+		hole, change := l.impairments[Out].Blackhole || l.impairments[Back].Blackhole, l.changed
 		l.mu.Unlock()
-		if refused || waited && !hole {
+		if refused || hasWaited && !hole {
 			j.reset()
 			return
 		}
@@ -174,20 +174,20 @@
 	}
 	j.far = far
 	l.mu.Lock()
-	if l.cut || l.ended {
+	if l.cut || l.closed {
 		l.mu.Unlock()
 		j.reset()
 		return
 	}
-	for w := range j.left {
-		j.left[w] = l.impairments[w].ResetAfter
+	for w := range j.untilReset {
+		j.untilReset[w] = l.impairments[w].ResetAfter
 	}
 	l.connections[j] = true
 	l.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
-	go l.pass(j, Out, far, c, &both)
-	go l.pass(j, Back, c, far, &both)
+	go l.forward(j, Out, far, c, &both)
+	go l.forward(j, Back, c, far, &both)
 	both.Wait()
 	l.mu.Lock()
 	delete(l.connections, j)
@@ -196,46 +196,46 @@
 	far.Close()
 }
 
-// piece is bytes on their way.
-type piece struct {
+// chunk is bytes on their way.
+type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pass carries one direction to its end.
-func (l *Link) pass(j *proxiedConn, w Direction, to, from net.Conn, both *sync.WaitGroup) {
+// forward carries one direction to its end.
+func (l *Link) forward(j *proxiedConn, d Direction, to, from net.Conn, both *sync.WaitGroup) {
 	defer both.Done()
-	way := make(chan piece, pieces)
+	queue := make(chan chunk, maxQueuedChunks)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.deliver(j, w, to, way)
+		l.deliver(j, d, to, queue)
 	}()
 	var last time.Time
-	for buf := make([]byte, pieceSize); ; {
+	for buf := make([]byte, chunkSize); ; {
 		n, err := from.Read(buf)
 		if n > 0 {
 			l.mu.Lock()
-			f := l.impairments[w]
-			late := f.Delay
+			f := l.impairments[d]
+			delay := f.Delay
 			if f.Jitter > 0 {
-				late += time.Duration(l.rng.Int64N(int64(f.Jitter)))
+				delay += time.Duration(l.rng.Int64N(int64(f.Jitter)))
 			}
 			if f.Blackhole {
-				j.tainted = true
+				j.lostBytes = true
 			}
 			l.mu.Unlock()
 			if !f.Blackhole {
-				due := time.Now().Add(late)
+				due := time.Now().Add(delay)
 				if due.Before(last) {
 					due = last
 				}
 				last = due
-				way <- piece{append([]byte(nil), buf[:n]...), due}
+				queue <- chunk{append([]byte(nil), buf[:n]...), due}
 			}
 		}
 		if err != nil {
-			close(way)
+			close(queue)
 			<-done
 			if err == io.EOF {
 				if t, ok := to.(*net.TCPConn); ok {
@@ -250,23 +250,23 @@
 }
 
 // deliver writes pieces as they fall due.
-func (l *Link) deliver(j *proxiedConn, w Direction, to net.Conn, way <-chan piece) {
-	for p := range way {
+func (l *Link) deliver(j *proxiedConn, d Direction, to net.Conn, queue <-chan chunk) {
+	for p := range queue {
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
 		}
 		l.mu.Lock()
-		rate, severed := l.impairments[w].Rate, false
-		if hole := l.impairments[w].Blackhole; hole { // what was on its way is lost with it
-			j.tainted = true
+		rate, shouldReset := l.impairments[d].Rate, false
+		if hole := l.impairments[d].Blackhole; hole { // what was on its way is lost with it
+			j.lostBytes = true
 			l.mu.Unlock()
 			continue
 		}
-		if left := j.left[w]; left > 0 {
-			if severed = len(p.data) >= left; severed {
-				p.data = p.data[:left]
+		if remaining := j.untilReset[d]; remaining > 0 {
+			if shouldReset = len(p.data) >= remaining; shouldReset {
+				p.data = p.data[:remaining]
 			}
-			j.left[w] = max(left-len(p.data), 0)
+			j.untilReset[d] = max(remaining-len(p.data), 0)
 		}
 		l.mu.Unlock()
 		if rate > 0 {
@@ -275,7 +275,7 @@
 		if _, err := to.Write(p.data); err != nil {
 			j.reset()
 		}
-		if severed {
+		if shouldReset {
 			time.Sleep(time.Millisecond) // so that the bytes before the reset arrive
 			j.reset()
 		}
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	answerSlack = 150 * time.Millisecond // behind an op's TTL in which its answer counts still: the load generator's own lateness
-	listenMore  = 400 * time.Millisecond // after the last op, for answers that nobody should send
-	connectMost = 500 * time.Millisecond
-	crossed     = 10 * time.Millisecond // within which the end of a kept connection crossed the command
+	answerTolerance = 150 * time.Millisecond // behind an op's TTL in which its answer counts still: the load generator's own lateness
+	strayAnswerWait = 400 * time.Millisecond // after the last op, for answers that nobody should send
+	connectTimeout  = 500 * time.Millisecond
+	closeRaceWindow = 10 * time.Millisecond // within which the end of a kept connection crossed the command
 )
 
 // Result of an op, as its client saw it.
@@ -54,43 +54,45 @@
 	ClosedInTransit bool   // its connection was closed as the command crossed, and it was sent once more, as another op
 }
 
-// load sends ops at a plan's rate, whatever comes back.
-type load struct {
-	plan    Plan
-	listens []string
-	now     func() time.Duration
-	rng     *rand.Rand
-	keys    []float64 // summed popularity
+// loadGenerator sends ops at a plan's rate, whatever comes back.
+type loadGenerator struct {
+	plan       Plan
+	addresses  []string
+	now        func() time.Duration
+	rng        *rand.Rand
+	popularity []float64 // summed popularity
 
-	mu    sync.Mutex
-	calls []Call
-	idle  [][]*line // connections by balancer
-	late  *hdrhistogram.Histogram
+	mu         sync.Mutex
+	calls      []Call
+	idle       [][]*clientConn // connections by balancer
+	sendDelays *hdrhistogram.Histogram
 }
 
-// line is a client's connection.
-type line struct {
+// clientConn is a client's connection.
+type clientConn struct {
 	net.Conn
-	r    *bufio.Reader
-	last int // the call that was last answered on it, by its place
+	r        *bufio.Reader
+	lastCall int // the call that was last answered on it, by its place
 }
 
-func newLoad(p Plan, listens []string, now func() time.Duration) *load {
-	l := &load{plan: p, listens: listens, now: now, rng: rand.New(rand.NewPCG(p.Seed, 11)), idle: make([][]*line, len(listens)),
-		late: histogram()}
+func newLoad(p Plan, listens []string, now func() time.Duration) *loadGenerator {
+	l := &loadGenerator{plan: p, addresses: listens, now: now, rng: rand.New(rand.NewPCG(p.Seed, 11)), idle: make([][]*clientConn, len(listens)),
+		sendDelays: newHistogram()}
 	sum := 0.0
 	for i := range p.Load.Keys {
 		sum += math.Pow(float64(i+1), -p.Load.Skew)
-		l.keys = append(l.keys, sum)
+		l.popularity = append(l.popularity, sum)
 	}
 	return l
 }
 
-// histogram is of microseconds, up to a minute.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, time.Minute.Microseconds(), 3) }
+// newHistogram is of microseconds, up to a minute.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+}
 
 // rate is ops a second at a time of the load.
-func (l *load) rate(at time.Duration) float64 {
+func (l *loadGenerator) rate(at time.Duration) float64 {
 	rate := l.plan.Load.Rate
 	for _, b := range l.plan.Load.Bursts {
 		if at >= b.At.d() && at < (b.At+b.Duration).d() {
@@ -101,49 +103,49 @@
 }
 
 // run sends all, and waits until the last op is over. tell is told each second of how far it is.
-func (l *load) run(ctx context.Context, began time.Duration, tell func(at time.Duration, sent int)) error {
-	var open sync.WaitGroup
+func (l *loadGenerator) run(ctx context.Context, began time.Duration, progress func(at time.Duration, sent int)) error {
+	var inFlight sync.WaitGroup
 	second := time.Second
 	end := l.plan.Load.Duration.d()
 	for at, n := time.Duration(0), 0; ; n++ {
 		at += time.Duration(l.rng.ExpFloat64() / l.rate(at) * float64(time.Second))
 		for second <= min(at, end) {
-			tell(second, n)
+			progress(second, n)
 			second += time.Second
 		}
 		if at >= end {
 			break
 		}
-		c := l.next(began + at)
+		c := l.nextOp(began + at)
 		if wait := c.Due - l.now(); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
-				open.Wait()
+				inFlight.Wait()
 				return context.Cause(ctx)
 			}
 		}
 		l.mu.Lock()
-		l.late.RecordValue(max(0, (l.now() - c.Due).Microseconds()))
+		l.sendDelays.RecordValue(max(0, (l.now() - c.Due).Microseconds()))
 		l.calls = append(l.calls, c)
-		place := len(l.calls) - 1
+		index := len(l.calls) - 1
 		l.mu.Unlock()
-		open.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer open.Done()
-			l.play(place, c)
+			defer inFlight.Done()
+			l.sendOp(index, c)
 		}()
 	}
-	open.Wait()
-	l.listen()
+	inFlight.Wait()
+	l.checkStrayAnswers()
 	return ctx.Err()
 }
 
-// next draws an op.
-func (l *load) next(due time.Duration) Call {
-	at, _ := slices.BinarySearch(l.keys, l.rng.Float64()*l.keys[len(l.keys)-1])
-	c := Call{ID: fmt.Sprintf("%016x", l.rng.Uint64()), Key: fmt.Sprintf("key-%d", min(at, len(l.keys)-1)), Due: due,
-		Balancer: l.rng.IntN(len(l.listens))}
+// nextOp draws an op.
+func (l *loadGenerator) nextOp(due time.Duration) Call {
+	at, _ := slices.BinarySearch(l.popularity, l.rng.Float64()*l.popularity[len(l.popularity)-1])
+	c := Call{ID: fmt.Sprintf("%016x", l.rng.Uint64()), Key: fmt.Sprintf("key-%d", min(at, len(l.popularity)-1)), Due: due,
+		Balancer: l.rng.IntN(len(l.addresses))}
 	sum := 0
 	names := []string{"read", "put", "once"}
 	for _, n := range names {
@@ -159,17 +161,17 @@
 	return c
 }
 
-// play sends an op and notes what comes of it. A balancer that takes no connection is passed over once, as a front would.
-func (l *load) play(place int, c Call) {
-	for range l.listens {
-		conn, err := l.connect(c.Balancer)
+// sendOp sends an op and notes what comes of it. A balancer that takes no connection is passed over once, as a front would.
+func (l *loadGenerator) sendOp(index int, c Call) {
+	for range l.addresses {
+		conn, err := l.acquireConn(c.Balancer)
 		if err != nil {
-			c.Balancer = (c.Balancer + 1) % len(l.listens)
+			c.Balancer = (c.Balancer + 1) % len(l.addresses)
 			continue
 		}
-		kept := conn.last >= 0
-		l.talk(conn, &c)
-		if kept && c.Outcome == Disconnected && c.Text == "" && c.Done-c.Sent < crossed {
+		reused := conn.lastCall >= 0
+		l.exchange(conn, &c)
+		if reused && c.Outcome == Disconnected && c.Text == "" && c.Done-c.Sent < closeRaceWindow {
 			// The connection was closed as the command crossed: clients send it once more, on a new one.
 			conn.Close()
 			first := c
@@ -178,59 +180,59 @@
 			l.calls = append(l.calls, first) // it may have run all the same
 			l.mu.Unlock()
 			c.ID = c.ID[:15] + "r"
-			if conn, err = dial(l.listens[c.Balancer]); err != nil {
-				c.Balancer = (c.Balancer + 1) % len(l.listens)
+			if conn, err = dial(l.addresses[c.Balancer]); err != nil {
+				c.Balancer = (c.Balancer + 1) % len(l.addresses)
 				continue
 			}
-			l.talk(conn, &c)
+			l.exchange(conn, &c)
 		}
 		if c.Outcome == Disconnected || c.Outcome == TimedOut {
 			conn.Close()
 		} else {
-			conn.last = place
+			conn.lastCall = index
 			l.mu.Lock()
 			l.idle[c.Balancer] = append(l.idle[c.Balancer], conn)
 			l.mu.Unlock()
 		}
-		l.set(place, c)
+		l.storeCall(index, c)
 		return
 	}
 	c.Balancer, c.Outcome, c.Done = -1, NotAccepted, l.now()
-	l.set(place, c)
+	l.storeCall(index, c)
 }
 
-func (l *load) set(place int, c Call) {
+func (l *loadGenerator) storeCall(index int, c Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.ExtraAnswers += l.calls[place].ExtraAnswers
-	l.calls[place] = c
+	c.ExtraAnswers += l.calls[index].ExtraAnswers
+	l.calls[index] = c
 }
 
-// connect is a connection to a balancer at rest, or a new one.
-func (l *load) connect(balancer int) (*line, error) {
+// acquireConn is a connection to a balancer at rest, or a new one.
+func (l *loadGenerator) acquireConn(balancer int) (*clientConn, error) {
 	for {
 		l.mu.Lock()
 		n := len(l.idle[balancer])
 		if n == 0 {
 			l.mu.Unlock()
-			return dial(l.listens[balancer])
+			return dial(l.addresses[balancer])
 		}
 		c := l.idle[balancer][n-1]
 		l.idle[balancer] = l.idle[balancer][:n-1]
 		l.mu.Unlock()
-		if l.quiet(c) {
+		if l.isUsable(c) {
 			return c, nil
 		}
 	}
 }
 
-// quiet tells whether a connection at rest is still usable. Bytes on it are an answer too many for the op before.
-func (l *load) quiet(c *line) bool {
+// isUsable tells whether a connection at rest is still usable. Bytes on it are an answer too many for the op before.
+func (l *loadGenerator) isUsable(c *clientConn) bool {
 	c.SetReadDeadline(time.Now())
 	_, err := c.r.Peek(1)
 	if err == nil {
 		l.mu.Lock()
-		l.calls[c.last].ExtraAnswers++
+		l.calls[c.lastCall].ExtraAnswers++
 		l.mu.Unlock()
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -240,41 +242,41 @@
 	return true
 }
 
-// listen looks at all connections once more, for answers that nobody asked for.
-func (l *load) listen() {
-	time.Sleep(listenMore)
+// checkStrayAnswers looks at all connections once more, for answers that nobody asked for.
+func (l *loadGenerator) checkStrayAnswers() {
+	time.Sleep(strayAnswerWait)
 	for _, conns := range l.idle {
 		for _, c := range conns {
-			if l.quiet(c) {
+			if l.isUsable(c) {
 				c.Close()
 			}
 		}
 	}
 }
 
-func dial(address string) (*line, error) {
-	c, err := net.DialTimeout("tcp", address, connectMost)
+func dial(address string) (*clientConn, error) {
+	c, err := net.DialTimeout("tcp", address, connectTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &line{c, bufio.NewReader(c), -1}, nil
+	return &clientConn{c, bufio.NewReader(c), -1}, nil
 }
 
-// talk sends an op's command and takes its answer.
-func (l *load) talk(conn *line, c *Call) {
+// exchange sends an op's command and takes its answer.
+func (l *loadGenerator) exchange(conn *clientConn, c *Call) {
 	text := fmt.Sprintf("mg %s v O%s Pc=%s,d=%d\r\n", c.Key, c.ID, c.Category, ttl.Milliseconds())
 	if c.Write {
-		mark := ""
-		if categories[c.Category] == "dedup" {
-			mark = ",k=" + c.ID
+		dedupKey := ""
+		if repeatModes[c.Category] == "dedup" {
+			dedupKey = ",k=" + c.ID
 		}
-		text = fmt.Sprintf("ms %s %d O%s Pc=%s,d=%d%s\r\n%s\r\n", c.Key, len(c.ID), c.ID, c.Category, ttl.Milliseconds(), mark, c.ID)
+		text = fmt.Sprintf("ms %s %d O%s Pc=%s,d=%d%s\r\n%s\r\n", c.Key, len(c.ID), c.ID, c.Category, ttl.Milliseconds(), dedupKey, c.ID)
 	}
-	conn.SetDeadline(time.Now().Add(ttl + answerSlack))
+	conn.SetDeadline(time.Now().Add(ttl + answerTolerance))
 	_, err := io.WriteString(conn, text)
 	c.Sent = l.now()
 	if err == nil {
-		c.Outcome, c.Text, err = answer(conn.r, c.ID)
+		c.Outcome, c.Text, err = readAnswer(conn.r, c.ID)
 	}
 	c.Done = l.now()
 	switch {
@@ -285,8 +287,8 @@
 	}
 }
 
-// answer reads an answer. One of another op is a failure, and says so.
-func answer(r *bufio.Reader, id string) (Outcome, string, error) {
+// readAnswer reads an answer. One of another op is a failure, and says so.
+func readAnswer(r *bufio.Reader, id string) (Outcome, string, error) {
 	first, err := r.ReadString('\n')
 	if err != nil {
 		return Disconnected, first, err
--- a/internal/trial/many_test.go
+++ b/internal/trial/many_test.go
@@ -18,7 +18,7 @@
 	for i := range n {
 		fmt.Fprintf(&text, "- {at: 1s, for: 1s, what: hang, of: [h%d]}\n", i+1)
 	}
-	hosts := strings.Join(numbered("h", n), ", ")
+	hosts := strings.Join(numberedNames("h", n), ", ")
 	fmt.Fprintf(&text, "- {at: 2s, for: 1s, what: slow, by: 2, of: [%s]}\n", hosts)
 	fmt.Fprintf(&text, "- {at: 2s, for: 1s, what: cut, from: [all], to: [%s, origin, discovery]}\n", hosts)
 	began := time.Now()
@@ -36,12 +36,12 @@
 		t.Errorf("%d balancers, %d parts, %v", len(from), len(to), err)
 	}
 	for i, name := range of {
-		if place(name) != i {
-			t.Fatalf("%s at place %d, want %d", name, place(name), i)
+		if partIndex(name) != i {
+			t.Fatalf("%s at place %d, want %d", name, partIndex(name), i)
 		}
 	}
 	again, err := ParsePlan([]byte(p.String()))
-	if err != nil || len(again.Faults) != n+2 || len(zones(again.Fleet)) != n {
+	if err != nil || len(again.Faults) != n+2 || len(zoneNames(again.Fleet)) != n {
 		t.Errorf("printed and read: %d faults, %.400v", len(again.Faults), err)
 	}
 }
@@ -49,10 +49,10 @@
 // Each balancer has addresses of its own, for as many as a plan may have: what hosts see tells balancers apart.
 func TestAddressesOfManyBalancers(t *testing.T) {
 	for _, pid := range []int{0, 1, 255, 1023, 1 << 22} {
-		a := addresses{pid}
-		seen := map[string]bool{a.hosts(): true}
-		for i := range mostBalancers {
-			for _, ip := range []string{a.listen(i), a.links(i), a.source(i)} {
+		a := addressSpace{pid}
+		seen := map[string]bool{a.hostsIP(): true}
+		for i := range maxBalancers {
+			for _, ip := range []string{a.listenIP(i), a.linksIP(i), a.sourceIP(i)} {
 				if parsed := net.ParseIP(ip); parsed == nil || !parsed.IsLoopback() || seen[ip] {
 					t.Fatalf("balancer %d of process %d: %s is no address, or another's", i, pid, ip)
 				}
@@ -64,14 +64,14 @@
 
 // A link of the last balancer that a plan may have is reached at its address, and comes from its balancer's source.
 func TestLinkOfLastBalancer(t *testing.T) {
-	a := ownAddresses()
-	part, err := net.Listen("tcp", a.hosts()+":0")
+	a := processAddresses()
+	part, err := net.Listen("tcp", a.hostsIP()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer part.Close()
-	last := mostBalancers - 1
-	l, err := newLink("b", "h", a.links(last), net.ParseIP(a.source(last)), 1, func() string { return part.Addr().String() })
+	last := maxBalancers - 1
+	l, err := newLink("b", "h", a.linksIP(last), net.ParseIP(a.sourceIP(last)), 1, func() string { return part.Addr().String() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +87,8 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	if from, _, _ := net.SplitHostPort(far.RemoteAddr().String()); from != a.source(last) {
-		t.Errorf("it comes from %s, want %s", from, a.source(last))
+	if from, _, _ := net.SplitHostPort(far.RemoteAddr().String()); from != a.sourceIP(last) {
+		t.Errorf("it comes from %s, want %s", from, a.sourceIP(last))
 	}
 }
 
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -15,14 +15,14 @@
 // What a plan may ask for at the most, beside mostBalancers: a trial is bounded in count and time. What the machine has no
 // room for, descriptors first, breaks the start off with an error.
 const (
-	mostHosts  = 4096
-	mostZones  = 1024
-	mostSlots  = 1024
-	mostRate   = 20000.0 // ops a second
-	mostFor    = 10 * time.Minute
-	mostFaults = 4096
-	mostText   = 4 << 20 // bytes of a plan: a thousand faults that each name some hundreds of parts
-	mostKeys   = 1 << 20
+	maxHosts     = 4096
+	maxZones     = 1024
+	maxSlots     = 1024
+	maxRate      = 20000.0 // ops a second
+	maxDuration  = 10 * time.Minute
+	maxFaults    = 4096
+	maxPlanBytes = 4 << 20 // bytes of a plan: a thousand faults that each name some hundreds of parts
+	maxKeys      = 1 << 20
 )
 
 // Plan is a trial: a fleet, a load, and faults by time. Its text is YAML (docs/trial.md), and plays again as it is printed.
@@ -116,8 +116,8 @@
 // ParsePlan reads a plan. What the text leaves out is as in Usual. An error names every fault that was found, with its line.
 func ParsePlan(text []byte) (Plan, error) {
 	p := DefaultPlan()
-	if len(text) > mostText {
-		return p, fmt.Errorf("plan: %d bytes, want %d at most", len(text), mostText)
+	if len(text) > maxPlanBytes {
+		return p, fmt.Errorf("plan: %d bytes, want %d at most", len(text), maxPlanBytes)
 	}
 	var root yaml.Node
 	if err := yaml.Unmarshal(text, &root); err != nil {
@@ -126,7 +126,7 @@
 	if root.Kind == 0 {
 		return p, errors.New("plan: empty")
 	}
-	if line := grows(&root); line > 0 {
+	if line := findAlias(&root); line > 0 {
 		return p, fmt.Errorf("plan: line %d: an alias; write out what it stands for", line)
 	}
 	p.Load.Shares = nil // a text that names some names all
@@ -147,28 +147,28 @@
 	if p.Load.Shares == nil {
 		p.Load.Shares = DefaultPlan().Load.Shares
 	}
-	lines := linesOf(&root, "faults")
+	lines := keyLines(&root, "faults")
 	for i := range p.Faults {
 		p.Faults[i].line = lines[i]
 	}
-	return p, p.check(linesOf(&root, "fleet", "load"))
+	return p, p.validate(keyLines(&root, "fleet", "load"))
 }
 
-// grows finds an alias: text that uses them can be far larger than it looks.
-func grows(n *yaml.Node) int {
+// findAlias finds an alias: text that uses them can be far larger than it looks.
+func findAlias(n *yaml.Node) int {
 	if n.Kind == yaml.AliasNode {
 		return n.Line
 	}
 	for _, c := range n.Content {
-		if line := grows(c); line > 0 {
+		if line := findAlias(c); line > 0 {
 			return line
 		}
 	}
 	return 0
 }
 
-// linesOf are the lines of a list's items, or of several keys' values.
-func linesOf(root *yaml.Node, keys ...string) (lines []int) {
+// keyLines are the lines of a list's items, or of several keys' values.
+func keyLines(root *yaml.Node, keys ...string) (lines []int) {
 	top := root.Content[0]
 	for _, key := range keys {
 		found := 0
@@ -189,46 +189,46 @@
 	return lines
 }
 
-// check names all that a plan asks for and can't have.
-func (p Plan) check(lines []int) error {
+// validate names all that a plan asks for and can't have.
+func (p Plan) validate(lines []int) error {
 	var all []error
-	bad := func(there bool, line int, form string, a ...any) {
-		if there {
-			all = append(all, fmt.Errorf("plan: line %d: %s", line, fmt.Sprintf(form, a...)))
+	addIf := func(invalid bool, line int, format string, a ...any) {
+		if invalid {
+			all = append(all, fmt.Errorf("plan: line %d: %s", line, fmt.Sprintf(format, a...)))
 		}
 	}
 	fleet, load := lines[0], lines[1]
 	f, l := p.Fleet, p.Load
-	bad(f.Balancers < 1 || f.Balancers > mostBalancers, fleet, "fleet.balancers: %d, want 1 to %d", f.Balancers, mostBalancers)
-	bad(f.Hosts < 1 || f.Hosts > mostHosts, fleet, "fleet.hosts: %d, want 1 to %d", f.Hosts, mostHosts)
-	bad(f.Zones < 1 || f.Zones > mostZones, fleet, "fleet.zones: %d, want 1 to %d", f.Zones, mostZones)
-	bad(f.Slots < 1 || f.Slots > mostSlots, fleet, "fleet.slots: %d, want 1 to %d", f.Slots, mostSlots)
-	possible := len(all) == 0
-	bad(f.WorkTime.d() > time.Second || f.OriginWorkTime.d() > time.Second, fleet, "fleet.work, origin_work: %v and %v, want 1s at most",
+	addIf(f.Balancers < 1 || f.Balancers > maxBalancers, fleet, "fleet.balancers: %d, want 1 to %d", f.Balancers, maxBalancers)
+	addIf(f.Hosts < 1 || f.Hosts > maxHosts, fleet, "fleet.hosts: %d, want 1 to %d", f.Hosts, maxHosts)
+	addIf(f.Zones < 1 || f.Zones > maxZones, fleet, "fleet.zones: %d, want 1 to %d", f.Zones, maxZones)
+	addIf(f.Slots < 1 || f.Slots > maxSlots, fleet, "fleet.slots: %d, want 1 to %d", f.Slots, maxSlots)
+	fleetValid := len(all) == 0
+	addIf(f.WorkTime.d() > time.Second || f.OriginWorkTime.d() > time.Second, fleet, "fleet.work, origin_work: %v and %v, want 1s at most",
 		f.WorkTime.d(), f.OriginWorkTime.d())
-	bad(l.Duration.d() <= 0 || l.Duration.d() > mostFor, load, "load.for: %v, want above 0, at most %v", l.Duration.d(), mostFor)
-	bad(!(l.Rate > 0 && l.Rate <= mostRate), load, "load.rate: %v, want above 0, at most %v", l.Rate, mostRate)
-	bad(l.Keys < 1 || l.Keys > mostKeys, load, "load.keys: %d, want 1 to %d", l.Keys, mostKeys)
-	bad(!(l.Skew >= 0 && l.Skew <= 3), load, "load.skew: %v, want 0 to 3", l.Skew)
+	addIf(l.Duration.d() <= 0 || l.Duration.d() > maxDuration, load, "load.for: %v, want above 0, at most %v", l.Duration.d(), maxDuration)
+	addIf(!(l.Rate > 0 && l.Rate <= maxRate), load, "load.rate: %v, want above 0, at most %v", l.Rate, maxRate)
+	addIf(l.Keys < 1 || l.Keys > maxKeys, load, "load.keys: %d, want 1 to %d", l.Keys, maxKeys)
+	addIf(!(l.Skew >= 0 && l.Skew <= 3), load, "load.skew: %v, want 0 to 3", l.Skew)
 	sum := 0
 	for name, share := range l.Shares {
-		_, known := categories[name]
-		bad(!known, load, "load.shares: no category %q; there are read, put, once", name)
-		bad(share < 0, load, "load.shares.%s: %d, want 0 or more", name, share)
+		_, known := repeatModes[name]
+		addIf(!known, load, "load.shares: no category %q; there are read, put, once", name)
+		addIf(share < 0, load, "load.shares.%s: %d, want 0 or more", name, share)
 		sum += max(share, 0)
 	}
-	bad(sum == 0, load, "load.shares: all 0")
+	addIf(sum == 0, load, "load.shares: all 0")
 	for _, b := range l.Bursts {
-		bad(!(b.Factor > 0 && b.Factor*l.Rate <= mostRate), load, "load.bursts: times %v, want above 0, and at most %v ops/s",
-			b.Factor, mostRate)
+		addIf(!(b.Factor > 0 && b.Factor*l.Rate <= maxRate), load, "load.bursts: times %v, want above 0, and at most %v ops/s",
+			b.Factor, maxRate)
 	}
-	bad(len(p.Faults) > mostFaults, load, "faults: %d, want %d at most", len(p.Faults), mostFaults)
-	if !possible { // faults are injected into parts of a fleet
+	addIf(len(p.Faults) > maxFaults, load, "faults: %d, want %d at most", len(p.Faults), maxFaults)
+	if !fleetValid { // faults are injected into parts of a fleet
 		return errors.Join(all...)
 	}
 	for _, x := range p.Faults {
-		for _, err := range x.check(p) {
-			bad(true, x.line, "%v", err)
+		for _, err := range x.validate(p) {
+			addIf(true, x.line, "%v", err)
 		}
 	}
 	return errors.Join(all...)
@@ -244,19 +244,19 @@
 }
 
 // balancers and hosts are the parts' names, and zone a part's zone, by its number from 1.
-func (f Fleet) balancers() []string { return numbered("b", f.Balancers) }
-func (f Fleet) hosts() []string     { return numbered("h", f.Hosts) }
+func (f Fleet) balancers() []string { return numberedNames("b", f.Balancers) }
+func (f Fleet) hosts() []string     { return numberedNames("h", f.Hosts) }
 func (f Fleet) zone(n int) string   { return fmt.Sprintf("z%d", (n-1)%f.Zones+1) }
 
-func numbered(prefix string, n int) (all []string) {
+func numberedNames(prefix string, n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("%s%d", prefix, i+1))
 	}
 	return all
 }
 
-// place is where a balancer or a host stands among its like, by its name: b1 and h1 come first.
-func place(name string) int {
+// partIndex is where a balancer or a host stands among its like, by its name: b1 and h1 come first.
+func partIndex(name string) int {
 	n, err := strconv.Atoi(name[1:])
 	if err != nil { // names come of the fleet's own lists
 		panic(err)
@@ -264,24 +264,24 @@
 	return n - 1
 }
 
-// parts are what a name stands for among some: a part, a zone's parts, or all of them. It is an error where that is none.
-func (f Fleet) parts(names []string, among []string) ([]string, error) {
-	stands := map[string][]string{"all": among}
+// resolveParts are what a name stands for among some: a part, a zone's parts, or all of them. It is an error where that is none.
+func (f Fleet) resolveParts(names []string, among []string) ([]string, error) {
+	named := map[string][]string{"all": among}
 	for _, part := range among {
-		stands[part] = append(stands[part], part)
+		named[part] = append(named[part], part)
 		if i, err := strconv.Atoi(strings.TrimLeft(part, "bh")); err == nil {
-			stands[f.zone(i)] = append(stands[f.zone(i)], part)
+			named[f.zone(i)] = append(named[f.zone(i)], part)
 		}
 	}
 	var all []string
-	taken := map[string]bool{}
+	seen := map[string]bool{}
 	for _, n := range names {
-		if len(stands[n]) == 0 {
+		if len(named[n]) == 0 {
 			return nil, fmt.Errorf("%q is none of %s", n, strings.Join(among, ", "))
 		}
-		for _, part := range stands[n] {
-			if !taken[part] {
-				taken[part] = true
+		for _, part := range named[n] {
+			if !seen[part] {
+				seen[part] = true
 				all = append(all, part)
 			}
 		}
--- a/internal/trial/plan_test.go
+++ b/internal/trial/plan_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is wrong with a plan is named with its line.
-func Example_badPlans() {
+func Example_invalidPlans() {
 	for _, text := range []string{
 		"",
 		"name: [",
@@ -52,7 +52,7 @@
 }
 
 // What a plan leaves out is as usual; zones and all stand for their parts.
-func Example_plan() {
+func Example_planDefaults() {
 	p, err := ParsePlan([]byte(`
 name: two at one instant
 load: {for: 3s, rate: 50}
@@ -62,7 +62,7 @@
 - {at: 1s, what: void, of: [all]}
 `))
 	fmt.Println(err)
-	for _, m := range p.moments() {
+	for _, m := range p.events() {
 		fmt.Println(m.end, m.fault)
 	}
 	of, to, err := p.Faults[0].targets(p.Fleet)
@@ -78,7 +78,7 @@
 }
 
 // A drawn plan's text reads as the plan that it was, and its faults are injected in the same order; each has two faults at once.
-func TestDrawnPlansPlayAgain(t *testing.T) {
+func TestRandomPlansRoundTrip(t *testing.T) {
 	for seed := range uint64(300) {
 		p := RandomPlan(seed)
 		again, err := ParsePlan([]byte(p.String()))
@@ -91,12 +91,12 @@
 		if !reflect.DeepEqual(p, again) {
 			t.Fatalf("seed %d: printed and read\n%s\nis\n%s", seed, p, again)
 		}
-		if !reflect.DeepEqual(p.moments(), again.moments()) || !reflect.DeepEqual(p, RandomPlan(seed)) {
+		if !reflect.DeepEqual(p.events(), again.events()) || !reflect.DeepEqual(p, RandomPlan(seed)) {
 			t.Fatalf("seed %d: another order", seed)
 		}
 		half := p.Load.Duration / 2
 		for _, x := range p.Faults {
-			if x.At > half || !kinds[x.Kind].instant && x.At+x.Duration < half {
+			if x.At > half || !faultKinds[x.Kind].instant && x.At+x.Duration < half {
 				t.Fatalf("seed %d: %v does not overlap the others", seed, x)
 			}
 		}
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -16,27 +16,27 @@
 	"time"
 )
 
-// condition of a process.
-type condition int
+// processState of a process.
+type processState int
 
 const (
-	absent   condition = iota // not started, or ended
-	starting                  // started, does not answer yet
-	serving                   // has answered
-	frozen                    // stopped by SIGSTOP
-	ending                    // told to end
+	absent   processState = iota // not started, or ended
+	starting                     // started, does not answer yet
+	serving                      // has answered
+	frozen                       // stopped by SIGSTOP
+	ending                       // told to end
 )
 
-func (c condition) String() string {
+func (c processState) String() string {
 	return [...]string{"absent", "starting", "serving", "frozen", "ending"}[c]
 }
 
 const (
-	logLines   = 2000                  // of a process that are kept
-	startMost  = 10 * time.Second      // until a process answers
-	startLook  = 10 * time.Millisecond // between two looks whether it does
-	faultsName = "faults"              // socket in its directory, of a program built with the tag
-	termMost   = 4 * time.Second       // from SIGTERM to SIGKILL
+	maxLogLines     = 2000                  // of a process that are kept
+	startTimeout    = 10 * time.Second      // until a process answers
+	probeInterval   = 10 * time.Millisecond // between two looks whether it does
+	faultSocketName = "faults"              // socket in its directory, of a program built with the tag
+	termTimeout     = 4 * time.Second       // from SIGTERM to SIGKILL
 )
 
 // LogLine is a line of a process's log.
@@ -58,38 +58,38 @@
 
 // Process is a real process of the program. Its directory is its disk and holds its start file.
 type Process struct {
-	Name   string
-	Dir    string
-	now    func() time.Duration
-	shell  *shell
-	config string
-	env    []string
-	probe  func() bool // tells whether it serves
-
-	mu    sync.Mutex
-	state condition
-	cmd   *exec.Cmd
-	over  chan struct{} // closed when cmd has ended
-	lines []LogLine
-	away  []Outage
-	wall  string // by how much its clock is off when it starts
-	crash string // its last word, where it ended by itself
+	Name      string
+	Dir       string
+	now       func() time.Duration
+	launcher  *launcher
+	config    string
+	env       []string
+	isServing func() bool // tells whether it serves
+
+	mu           sync.Mutex
+	state        processState
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when cmd has ended
+	lines        []LogLine
+	outages      []Outage
+	clockOffset  string // by how much its clock is off when it starts
+	crashMessage string // its last word, where it ended by itself
 }
 
-// shell starts processes. Each dies with the trial's process, however that ends: the kernel kills a child when the
+// launcher starts processes. Each dies with the trial's process, however that ends: the kernel kills a child when the
 // thread that started it ends, so one thread starts them all and lives as long as the cluster.
-type shell struct {
-	calls chan func()
-	done  chan struct{}
+type launcher struct {
+	jobs chan func()
+	done chan struct{}
 }
 
-func newShell() *shell {
-	s := &shell{calls: make(chan func()), done: make(chan struct{})}
+func newLauncher() *launcher {
+	s := &launcher{jobs: make(chan func()), done: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread()
 		for {
 			select {
-			case call := <-s.calls:
+			case call := <-s.jobs:
 				call()
 			case <-s.done:
 				return // locked still: the thread ends with it
@@ -99,27 +99,27 @@
 	return s
 }
 
-func (s *shell) start(c *exec.Cmd) error {
+func (s *launcher) start(c *exec.Cmd) error {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
-	s.calls <- func() { failed <- c.Start() }
+	s.jobs <- func() { failed <- c.Start() }
 	return <-failed
 }
 
-func (s *shell) close() { close(s.done) }
+func (s *launcher) close() { close(s.done) }
 
-// move is the one place where a process changes its condition.
-func (p *Process) move(to condition) {
+// setState is the one place where a process changes its condition.
+func (p *Process) setState(to processState) {
 	now := max(p.now(), 1)
 	was := p.state
 	p.state = to
 	switch {
-	case to == serving && len(p.away) > 0 && p.away[len(p.away)-1].To == 0:
-		p.away[len(p.away)-1].To = now
+	case to == serving && len(p.outages) > 0 && p.outages[len(p.outages)-1].To == 0:
+		p.outages[len(p.outages)-1].To = now
 	case was == serving && to != serving:
-		p.away = append(p.away, Outage{Span{From: now}, to == frozen})
+		p.outages = append(p.outages, Outage{Span{From: now}, to == frozen})
 	case was == frozen && to != serving:
-		p.away[len(p.away)-1].Frozen = false
+		p.outages[len(p.outages)-1].Frozen = false
 	}
 }
 
@@ -134,14 +134,14 @@
 func (p *Process) Outages() []Outage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Outage(nil), p.away...)
+	return append([]Outage(nil), p.outages...)
 }
 
 // Crash is the last word of a process that ended without being told to, empty where none did.
 func (p *Process) Crash() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.crash
+	return p.crashMessage
 }
 
 // Log is what the process has written, the last lines of it.
@@ -158,15 +158,15 @@
 		defer p.mu.Unlock()
 		return fmt.Errorf("%s: is %v already", p.Name, p.state)
 	}
-	over, err := p.spawn(program, args)
+	exited, err := p.spawn(program, args)
 	if err == nil {
-		p.move(starting)
+		p.setState(starting)
 	}
 	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return p.await(over)
+	return p.awaitServing(exited)
 }
 
 // replace starts a process beside the one that serves, and tells that one to end once the new one says that it serves.
@@ -176,115 +176,115 @@
 		defer p.mu.Unlock()
 		return fmt.Errorf("%s: is %v, no process to replace", p.Name, p.state)
 	}
-	old, gone := p.cmd, p.over
+	old, oldExited := p.cmd, p.exited
 	err := prepare()
-	var over <-chan struct{}
+	var exited <-chan struct{}
 	if err == nil {
-		over, err = p.spawn(program, args)
+		exited, err = p.spawn(program, args)
 	}
 	p.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	if err := p.await(over); err != nil {
+	if err := p.awaitServing(exited); err != nil {
 		return err
 	}
 	old.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-gone:
+	case <-oldExited:
 		return nil
-	case <-time.After(termMost):
+	case <-time.After(termTimeout):
 		old.Process.Kill()
-		return fmt.Errorf("%s: the old process went on %v after SIGTERM, killed", p.Name, termMost)
+		return fmt.Errorf("%s: the old process went on %v after SIGTERM, killed", p.Name, termTimeout)
 	}
 }
 
 // spawn starts a process, which is the one from then on.
-func (p *Process) spawn(program string, args []string) (over chan struct{}, err error) {
+func (p *Process) spawn(program string, args []string) (exited chan struct{}, err error) {
 	c := exec.Command(program, args...)
 	c.Env = append(append(os.Environ(), p.env...), "RELAY_CONFIG="+p.config, "TMPDIR="+p.Dir,
-		"LARCHTHREAD_FAULTS="+filepath.Join(p.Dir, faultsName), "LARCHTHREAD_WALL="+p.wall)
+		"LARCHTHREAD_FAULTS="+filepath.Join(p.Dir, faultSocketName), "LARCHTHREAD_WALL="+p.clockOffset)
 	c.Dir = p.Dir
 	r, w, err := os.Pipe()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
 	c.Stdout, c.Stderr = w, w
-	err = p.shell.start(c)
+	err = p.launcher.start(c)
 	w.Close()
 	if err != nil {
 		r.Close()
 		return nil, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	over = make(chan struct{})
-	p.cmd, p.over = c, over
-	read := make(chan struct{})
+	exited = make(chan struct{})
+	p.cmd, p.exited = c, exited
+	logRead := make(chan struct{})
 	go func() {
-		defer close(read)
-		p.read(r)
+		defer close(logRead)
+		p.readLog(r)
 	}()
 	go func() {
-		defer close(over)
+		defer close(exited)
 		c.Wait()
-		<-read
+		<-logRead
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.cmd != c {
 			return
 		}
 		if p.state != ending {
-			p.crash = "it said nothing"
+			p.crashMessage = "it said nothing"
 			if n := len(p.lines); n > 0 {
-				p.crash = p.lines[n-1].Text
+				p.crashMessage = p.lines[n-1].Text
 			}
 		}
-		p.move(absent)
+		p.setState(absent)
 	}()
-	return over, nil
+	return exited, nil
 }
 
-// spoil tells a program that was built for it what to spoil (package machine). A clock counts for what is started later, too.
-func (p *Process) spoil(line string) error {
-	if off, is := strings.CutPrefix(line, "clock "); is {
+// sendFault tells a program that was built for it what to spoil (package machine). A clock counts for what is started later, too.
+func (p *Process) sendFault(line string) error {
+	if offset, isClock := strings.CutPrefix(line, "clock "); isClock {
 		p.mu.Lock()
-		p.wall = off
+		p.clockOffset = offset
 		p.mu.Unlock()
 	}
-	c, err := net.Dial("unix", filepath.Join(p.Dir, faultsName))
+	c, err := net.Dial("unix", filepath.Join(p.Dir, faultSocketName))
 	if err != nil {
 		return fmt.Errorf("%s: %q: no faults in this program, or it does not run (build it with -tags faults): %w", p.Name, line, err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(callMost))
+	c.SetDeadline(time.Now().Add(adminTimeout))
 	fmt.Fprintln(c, line)
-	said, err := bufio.NewReader(c).ReadString('\n')
-	if said = strings.TrimSpace(said); err != nil || said != "ok" {
-		return fmt.Errorf("%s: %q: %s %w", p.Name, line, said, err)
+	reply, err := bufio.NewReader(c).ReadString('\n')
+	if reply = strings.TrimSpace(reply); err != nil || reply != "ok" {
+		return fmt.Errorf("%s: %q: %s %w", p.Name, line, reply, err)
 	}
 	return nil
 }
 
-// await waits until the process serves.
-func (p *Process) await(over <-chan struct{}) error {
-	for end := time.Now().Add(startMost); time.Now().Before(end); {
+// awaitServing waits until the process serves.
+func (p *Process) awaitServing(exited <-chan struct{}) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
 		select {
-		case <-over:
-			return fmt.Errorf("%s: ended amid its start: %s", p.Name, p.last())
-		case <-time.After(startLook):
+		case <-exited:
+			return fmt.Errorf("%s: ended amid its start: %s", p.Name, p.lastLine())
+		case <-time.After(probeInterval):
 		}
-		if p.probe() {
+		if p.isServing() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			if p.state == starting {
-				p.move(serving)
+				p.setState(serving)
 			}
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: does not serve %v after its start: %s", p.Name, startMost, p.last())
+	return fmt.Errorf("%s: does not serve %v after its start: %s", p.Name, startTimeout, p.lastLine())
 }
 
-func (p *Process) last() string {
+func (p *Process) lastLine() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.lines) == 0 {
@@ -293,23 +293,23 @@
 	return p.lines[len(p.lines)-1].Text
 }
 
-// read takes the log as it comes.
-func (p *Process) read(r io.ReadCloser) {
+// readLog takes the log as it comes.
+func (p *Process) readLog(r io.ReadCloser) {
 	defer r.Close()
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
 		p.mu.Lock()
 		p.lines = append(p.lines, LogLine{p.now(), s.Text()})
-		if len(p.lines) > logLines {
-			p.lines = p.lines[len(p.lines)-logLines:]
+		if len(p.lines) > maxLogLines {
+			p.lines = p.lines[len(p.lines)-maxLogLines:]
 		}
 		p.mu.Unlock()
 	}
 }
 
 // signal sends a signal to the process, if it is in one of the conditions, and moves it on.
-func (p *Process) signal(s syscall.Signal, to condition, in ...condition) error {
+func (p *Process) signal(s syscall.Signal, to processState, in ...processState) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range in {
@@ -317,7 +317,7 @@
 			if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 				return fmt.Errorf("%s: %w", p.Name, err)
 			}
-			p.move(to)
+			p.setState(to)
 			return nil
 		}
 	}
@@ -345,24 +345,24 @@
 		return err
 	}
 	p.mu.Lock()
-	over := p.over
+	exited := p.exited
 	p.mu.Unlock()
 	select {
-	case <-over:
+	case <-exited:
 		return nil
-	case <-time.After(termMost):
+	case <-time.After(termTimeout):
 		p.Kill()
-		return fmt.Errorf("%s: went on %v after SIGTERM, killed", p.Name, termMost)
+		return fmt.Errorf("%s: went on %v after SIGTERM, killed", p.Name, termTimeout)
 	}
 }
 
 // Wait waits until the process has ended.
 func (p *Process) Wait() {
 	p.mu.Lock()
-	over := p.over
+	exited := p.exited
 	p.mu.Unlock()
-	if over != nil {
-		<-over
+	if exited != nil {
+		<-exited
 	}
 }
 
--- a/internal/trial/process_test.go
+++ b/internal/trial/process_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// script is a process that runs a shell text in place of the program.
-func script(t *testing.T, serves bool) (*Process, func(text string) error) {
+// newScriptProcess is a process that runs a shell text in place of the program.
+func newScriptProcess(t *testing.T, isServing bool) (*Process, func(text string) error) {
 	began := time.Now()
-	p := &Process{Name: "b1", Dir: t.TempDir(), now: func() time.Duration { return time.Since(began) }, shell: newShell(),
-		probe: func() bool { return serves }}
+	p := &Process{Name: "b1", Dir: t.TempDir(), now: func() time.Duration { return time.Since(began) }, launcher: newLauncher(),
+		isServing: func() bool { return isServing }}
 	p.config = filepath.Join(p.Dir, "start.json")
-	t.Cleanup(func() { p.Kill(); p.shell.close() })
+	t.Cleanup(func() { p.Kill(); p.launcher.close() })
 	return p, func(text string) error { return p.Start("/bin/sh", "-c", text) }
 }
 
-func TestDiesAmidItsStart(t *testing.T) {
-	p, start := script(t, false)
+func TestProcessExitsDuringStart(t *testing.T) {
+	p, start := newScriptProcess(t, false)
 	err := start("echo no room >&2; exit 3")
 	if err == nil || !strings.Contains(err.Error(), "b1: ended amid its start: no room") {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 	}
 }
 
-func TestIgnoresTerm(t *testing.T) {
-	p, start := script(t, true)
+func TestProcessIgnoresSIGTERM(t *testing.T) {
+	p, start := newScriptProcess(t, true)
 	if err := start(`trap "" TERM; echo deaf; while :; do sleep 0.1; done`); err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +47,8 @@
 }
 
 // A process is stopped, goes on, is killed, and starts again from an empty disk. What can't be done says why.
-func TestConditions(t *testing.T) {
-	p, start := script(t, true)
+func TestProcessStates(t *testing.T) {
+	p, start := newScriptProcess(t, true)
 	text := "touch kept; exec sleep 60"
 	steps := []struct {
 		name string
@@ -58,10 +58,10 @@
 		{"empty", p.ClearDir}, {"freeze", p.Freeze}, {"term", p.Terminate}, {"thaw", p.Thaw}, {"kill", p.Kill}, {"kill", p.Kill},
 		{"empty", p.ClearDir}, {"start", func() error { return start("exec sleep 60") }},
 	}
-	var said strings.Builder
+	var got strings.Builder
 	for _, s := range steps {
 		err := s.do()
-		fmt.Fprintf(&said, "%s: %v: %s\n", s.name, err, p.State())
+		fmt.Fprintf(&got, "%s: %v: %s\n", s.name, err, p.State())
 		time.Sleep(50 * time.Millisecond)
 	}
 	want := `thaw: b1: is absent: absent
@@ -76,8 +76,8 @@
 empty: <nil>: absent
 start: <nil>: serving
 `
-	if said.String() != want {
-		t.Errorf("got\n%swant\n%s", said.String(), want)
+	if got.String() != want {
+		t.Errorf("got\n%swant\n%s", got.String(), want)
 	}
 	if _, err := os.Stat(filepath.Join(p.Dir, "kept")); err == nil {
 		t.Error("the disk was not emptied")
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -15,7 +15,7 @@
 
 // WriteTable writes a result for people.
 func (r *Result) WriteTable(w io.Writer) {
-	fmt.Fprintf(w, "%s: %.1f%% of the ops acked within %v\n\n", r.Name, 100*r.InTimeShare(), target)
+	fmt.Fprintf(w, "%s: %.1f%% of the ops acked within %v\n\n", r.Name, 100*r.InTimeShare(), targetLatency)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "category\tops\tin time\tacked\tnacked\tfailed\tcut\tsilent\tuntaken\tp50 ms\tp99\tp99.9\t")
 	for _, g := range r.Categories {
@@ -27,7 +27,7 @@
 	}
 	t.Flush()
 	fmt.Fprintf(w, "\npushes by host:")
-	for _, h := range r.hosts() {
+	for _, h := range r.sortedHosts() {
 		fmt.Fprintf(w, " %s %d", h, r.Pushes[h])
 	}
 	fmt.Fprintf(w, "\nthe load generator's own lateness, 99 in 100: %.1f ms\n", r.SendDelayP99)
@@ -44,8 +44,8 @@
 	}
 }
 
-// hosts are those that were pushed to, h2 before h10.
-func (r *Result) hosts() (all []string) {
+// sortedHosts are those that were pushed to, h2 before h10.
+func (r *Result) sortedHosts() (all []string) {
 	for h := range r.Pushes {
 		all = append(all, h)
 	}
@@ -79,20 +79,20 @@
 	if err != nil {
 		return err
 	}
-	took, err := r.plot("latency of acked ops from when they were due, ms", 0,
+	latency, err := r.plot("latency of acked ops from when they were due, ms", 0,
 		series{"half", func(s SecondResult) float64 { return s.P50 }, blue},
 		series{"99 in 100", func(s SecondResult) float64 { return s.P99 }, red})
 	if err != nil {
 		return err
 	}
-	hosts, err := r.bars()
+	hosts, err := r.hostBars()
 	if err != nil {
 		return err
 	}
 	var table bytes.Buffer
 	r.WriteTable(&table)
-	return page.Execute(w, map[string]any{"Name": r.Name, "Table": table.String(), "Plan": r.Plan,
-		"Injected": strings.Join(r.Injected, "\n"), "Plots": []template.HTML{service, took, hosts}})
+	return reportTemplate.Execute(w, map[string]any{"Name": r.Name, "Table": table.String(), "Plan": r.Plan,
+		"Injected": strings.Join(r.Injected, "\n"), "Plots": []template.HTML{service, latency, hosts}})
 }
 
 func ratio(n, of int) float64 {
@@ -104,7 +104,7 @@
 
 // plot draws a value a second, with the faults as shades behind it.
 func (r *Result) plot(title string, top float64, lines ...series) (template.HTML, error) {
-	c := plain(title)
+	c := newChart(title)
 	var drawn []chart.Series
 	for _, l := range lines {
 		var at, values []float64
@@ -132,17 +132,17 @@
 	return drawnHTML + template.HTML("<br>"+strings.Join(legend, ", ")), err
 }
 
-func plain(title string) chart.Chart {
-	return chart.Chart{Title: title, TitleStyle: chart.Style{FontSize: 11}, Width: wide, Height: high,
+func newChart(title string) chart.Chart {
+	return chart.Chart{Title: title, TitleStyle: chart.Style{FontSize: 11}, Width: plotWidth, Height: plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: 40, Left: 10, Right: 10, Bottom: 10}}}
 }
 
-// bars draws how often each host was pushed to.
-func (r *Result) bars() (template.HTML, error) {
-	c := chart.BarChart{Title: "pushes by host", TitleStyle: chart.Style{FontSize: 11}, Width: wide, Height: high,
+// hostBars draws how often each host was pushed to.
+func (r *Result) hostBars() (template.HTML, error) {
+	c := chart.BarChart{Title: "pushes by host", TitleStyle: chart.Style{FontSize: 11}, Width: plotWidth, Height: plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: 40, Left: 10, Right: 10, Bottom: 10}}}
 	most := 1.0
-	for _, h := range r.hosts() {
+	for _, h := range r.sortedHosts() {
 		n := float64(r.Pushes[h])
 		most = max(most, n)
 		c.Bars = append(c.Bars, chart.Value{Label: h, Value: n, Style: chart.Style{FillColor: blue, StrokeColor: blue}})
@@ -150,12 +150,12 @@
 	if len(c.Bars) == 0 {
 		return "", nil
 	}
-	c.BarWidth = min(40, wide/2/len(c.Bars)+1)
+	c.BarWidth = min(40, plotWidth/2/len(c.Bars)+1)
 	c.YAxis = chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: most * 1.05}}
 	return svg(c.Render)
 }
 
-const wide, high = 900, 280 // of a plot, in pixels
+const plotWidth, plotHeight = 900, 280 // of a plot, in pixels
 
 func svg(render func(chart.RendererProvider, io.Writer) error) (template.HTML, error) {
 	var b bytes.Buffer
@@ -165,7 +165,7 @@
 	return template.HTML(b.String()), nil
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:14px sans-serif;margin:2em auto;max-width:62em}pre{background:#f4f4f4;padding:1em;overflow:auto}svg{max-width:100%;height:auto}</style>
 <h1>{{.Name}}</h1>
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -77,72 +77,72 @@
 	return all
 }
 
-// slackLeast is what a busy machine may add to any time that is measured across processes.
-const slackLeast = 100 * time.Millisecond
+// minTolerance is what a busy machine may add to any time that is measured across processes.
+const minTolerance = 100 * time.Millisecond
 
-// slack is by how much links may make what a balancer sends later.
-func (p Plan) slack() time.Duration {
-	most := slackLeast
+// tolerance is by how much links may make what a balancer sends later.
+func (p Plan) tolerance() time.Duration {
+	most := minTolerance
 	for _, x := range p.Faults {
 		by, err := x.Magnitude.number()
 		switch {
 		case err != nil:
 		case x.Kind == "delay":
-			most = max(most, slackLeast+time.Duration(by*2*float64(time.Millisecond)))
+			most = max(most, minTolerance+time.Duration(by*2*float64(time.Millisecond)))
 		case x.Kind == "rate": // what stands before it on its connection goes first
-			most = max(most, slackLeast+time.Duration(float64(pieceSize)/by*float64(time.Second)))
+			most = max(most, minTolerance+time.Duration(float64(chunkSize)/by*float64(time.Second)))
 		}
 	}
 	return most
 }
 
-// result looks at what came of the plan.
-func (c *Cluster) result(began time.Duration, l *load) *Result {
-	rec := &History{Calls: l.calls, Pushes: c.fleet.ReceivedPushes(), Lists: c.fleet.SentLists(), Bans: c.bans, Tolerance: c.plan.slack()}
+// buildResult looks at what came of the plan.
+func (c *Cluster) buildResult(began time.Duration, l *loadGenerator) *Result {
+	rec := &History{Calls: l.calls, Pushes: c.fleet.ReceivedPushes(), Lists: c.fleet.SentLists(), Bans: c.bans, Tolerance: c.plan.tolerance()}
 	r := &Result{Plan: c.plan.String(), Name: c.plan.Name, Injected: c.injected, Pushes: map[string]int{}, History: rec,
 		Logs: map[string][]LogLine{}}
 	for i, p := range c.processes {
-		rec.Balancers = append(rec.Balancers, BalancerRecord{p.Name, c.at.source(i), p.Outages(), p.Crash()})
+		rec.Balancers = append(rec.Balancers, BalancerRecord{p.Name, c.addresses.sourceIP(i), p.Outages(), p.Crash()})
 		r.Logs[p.Name] = p.Log()
 	}
-	for _, err := range c.broken {
+	for _, err := range c.errs {
 		r.ClusterErrors = append(r.ClusterErrors, err.Error())
 	}
 	for _, x := range rec.Pushes {
 		r.Pushes[x.Host]++
 	}
-	for _, x := range c.plan.ordered() {
+	for _, x := range c.plan.sortedFaults() {
 		r.FaultSpans = append(r.FaultSpans, FaultSpan{x.At.d().Seconds(), (x.At + x.Duration).d().Seconds(), x.String()})
 	}
-	r.SendDelayP99 = float64(l.late.ValueAtQuantile(99)) / 1000
+	r.SendDelayP99 = float64(l.sendDelays.ValueAtQuantile(99)) / 1000
 	r.Violations = rec.Check()
-	r.count(began, c.plan.Load.Duration.d())
+	r.aggregate(began, c.plan.Load.Duration.d())
 	return r
 }
 
-// count sums ops up by category and by second.
-func (r *Result) count(began, length time.Duration) {
-	type sums struct {
+// aggregate sums ops up by category and by second.
+func (r *Result) aggregate(began, length time.Duration) {
+	type accumulator struct {
 		CategoryResult
-		took *hdrhistogram.Histogram
+		latencies *hdrhistogram.Histogram
 	}
-	groups := map[string]*sums{}
+	groups := map[string]*accumulator{}
 	seconds := make([]SecondResult, int((length+time.Second-1)/time.Second))
-	tooks := make([]*hdrhistogram.Histogram, len(seconds))
+	latencies := make([]*hdrhistogram.Histogram, len(seconds))
 	for _, c := range r.History.Calls {
 		if c.ClosedInTransit {
 			continue
 		}
 		s := groups[c.Category]
 		if s == nil {
-			s = &sums{CategoryResult{Name: c.Category, Outcomes: map[Outcome]int{}}, histogram()}
+			s = &accumulator{CategoryResult{Name: c.Category, Outcomes: map[Outcome]int{}}, newHistogram()}
 			groups[c.Category] = s
 		}
 		at := min(int((c.Due-began)/time.Second), len(seconds)-1)
-		if tooks[at] == nil {
-			tooks[at] = histogram()
+		if latencies[at] == nil {
+			latencies[at] = newHistogram()
 		}
-		took, second := c.Done-c.Due, &seconds[at]
+		latency, second := c.Done-c.Due, &seconds[at]
 		s.Ops++
 		second.Ops++
 		s.Outcomes[c.Outcome]++
@@ -152,9 +152,9 @@
 		if c.Outcome != Acked {
 			continue
 		}
-		s.took.RecordValue(took.Microseconds())
-		tooks[at].RecordValue(took.Microseconds())
-		if took <= target {
+		s.latencies.RecordValue(latency.Microseconds())
+		latencies[at].RecordValue(latency.Microseconds())
+		if latency <= targetLatency {
 			s.InTime++
 			second.InTime++
 		}
@@ -167,12 +167,12 @@
 	}
 	for _, name := range []string{"read", "put", "once"} {
 		if s := groups[name]; s != nil {
-			s.P50, s.P99, s.P999 = ms(s.took, 50), ms(s.took, 99), ms(s.took, 99.9)
+			s.P50, s.P99, s.P999 = ms(s.latencies, 50), ms(s.latencies, 99), ms(s.latencies, 99.9)
 			r.Categories = append(r.Categories, s.CategoryResult)
 		}
 	}
 	for i := range seconds {
-		seconds[i].P50, seconds[i].P99 = ms(tooks[i], 50), ms(tooks[i], 99)
+		seconds[i].P50, seconds[i].P99 = ms(latencies[i], 50), ms(latencies[i], 99)
 	}
 	r.Seconds = seconds
 }
--- a/internal/trial/shrink.go
+++ b/internal/trial/shrink.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	shrinkRuns  = 60 // trials that a shrinking may take
-	shrinkTries = 2  // times that a smaller plan is played before it counts as well
+	maxShrinkRuns = 60 // trials that a shrinking may take
+	triesPerPlan  = 2  // times that a smaller plan is played before it counts as well
 )
 
 // Shrink looks for the least plan that still breaks one of the rules that a failing one does: with fewer faults in fewer
@@ -15,8 +15,8 @@
 func Shrink(ctx context.Context, p Plan, broken []string, play func(context.Context, Plan) (*Result, error)) (Plan, error) {
 	runs := 0
 	fails := func(q Plan) (bool, error) {
-		for range shrinkTries {
-			if runs++; runs > shrinkRuns {
+		for range triesPerPlan {
+			if runs++; runs > maxShrinkRuns {
 				return false, nil
 			}
 			r, err := play(ctx, q)
@@ -33,10 +33,10 @@
 		}
 		return false, nil
 	}
-	for smaller := true; smaller && runs < shrinkRuns; {
+	for smaller := true; smaller && runs < maxShrinkRuns; {
 		smaller = false
-		for _, q := range p.less() {
-			if q.check([]int{0, 0}) != nil {
+		for _, q := range p.smallerPlans() {
+			if q.validate([]int{0, 0}) != nil {
 				continue
 			}
 			still, err := fails(q)
@@ -52,8 +52,8 @@
 	return p, nil
 }
 
-// less are the plans that are a step smaller, the largest steps first.
-func (p Plan) less() (all []Plan) {
+// smallerPlans are the plans that are a step smaller, the largest steps first.
+func (p Plan) smallerPlans() (all []Plan) {
 	step := func(change func(q *Plan)) {
 		q := p
 		q.Faults = append([]Fault(nil), p.Faults...)
@@ -66,17 +66,17 @@
 	for i, x := range p.Faults {
 		for k := range x.Parts {
 			if len(x.Parts) > 1 {
-				step(func(q *Plan) { q.Faults[i].Parts = without(x.Parts, k) })
+				step(func(q *Plan) { q.Faults[i].Parts = withoutIndex(x.Parts, k) })
 			}
 		}
 		for k := range x.From {
 			if len(x.From) > 1 {
-				step(func(q *Plan) { q.Faults[i].From = without(x.From, k) })
+				step(func(q *Plan) { q.Faults[i].From = withoutIndex(x.From, k) })
 			}
 		}
 		for k := range x.To {
 			if len(x.To) > 1 {
-				step(func(q *Plan) { q.Faults[i].To = without(x.To, k) })
+				step(func(q *Plan) { q.Faults[i].To = withoutIndex(x.To, k) })
 			}
 		}
 	}
@@ -87,13 +87,13 @@
 	if short := max(last+200*time.Millisecond, time.Second); short < p.Load.Duration.d()*9/10 {
 		step(func(q *Plan) { q.Load.Duration = Duration(short) })
 	}
-	for _, less := range []func(n int) int{func(n int) int { return n / 2 }, func(n int) int { return n - 1 }} {
-		step(func(q *Plan) { q.Fleet.Balancers = less(p.Fleet.Balancers) })
-		step(func(q *Plan) { q.Fleet.Hosts = less(p.Fleet.Hosts) })
+	for _, reduce := range []func(n int) int{func(n int) int { return n / 2 }, func(n int) int { return n - 1 }} {
+		step(func(q *Plan) { q.Fleet.Balancers = reduce(p.Fleet.Balancers) })
+		step(func(q *Plan) { q.Fleet.Hosts = reduce(p.Fleet.Hosts) })
 	}
 	return all
 }
 
-func without(all []string, i int) []string {
+func withoutIndex(all []string, i int) []string {
 	return append(append([]string(nil), all[:i]...), all[i+1:]...)
 }
