--- a/internal/trial/address.go
+++ b/internal/trial/address.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	balancersPerNet = 80 // balancers in one net: each has three addresses of the 250 that are of use
-	extraNets       = 15 // nets of a cluster beyond its first, for plans with many balancers
+	balancersPerNet = 80 // each has three of the 250 usable addresses of its net
+	extraNets       = 15 // of a cluster, for plans with many balancers
 	maxBalancers    = balancersPerNet * (1 + extraNets)
-	maxClusters     = 1 << 10 // clusters with further nets of their own: all that a quarter of loopback has room for
+	maxClusters     = 1 << 10 // with extra nets of their own, as many as fit in a quarter of loopback
 
-	// Last numbers of addresses. Balancers of one net have theirs in a row.
+	// Last octets of addresses. Those of the balancers of one net are consecutive.
 	hostsOctet       = 3
 	firstListenOctet = 10
 	firstLinksOctet  = firstListenOctet + balancersPerNet
 	firstSourceOctet = firstLinksOctet + balancersPerNet
 )
 
-// addressSpace are a cluster's own part of loopback, by the process that it runs in.
+// addressSpace is a cluster's own part of the loopback network, derived from the ID of the process that runs the cluster.
 type addressSpace struct{ pid int }
 
 func processAddresses() addressSpace { return addressSpace{os.Getpid()} }
 
-// hostsIP is the address of all hosts.
+// hostsIP returns the address that all hosts share.
 func (a addressSpace) hostsIP() string { return a.ip(0, hostsOctet) }
 
-// listenIP is the address at which a balancer with a number listens.
+// listenIP returns the address on which a balancer listens, by its number from 0.
 func (a addressSpace) listenIP(balancer int) string {
 	return a.ip(balancer/balancersPerNet, firstListenOctet+balancer%balancersPerNet)
 }
 
-// linksIP is the address of all its links.
+// linksIP returns the address on which all links of a balancer listen.
 func (a addressSpace) linksIP(balancer int) string {
 	return a.ip(balancer/balancersPerNet, firstLinksOctet+balancer%balancersPerNet)
 }
 
-// sourceIP is the address that hosts see it as.
+// sourceIP returns the address from which a balancer's links connect to hosts.
 func (a addressSpace) sourceIP(balancer int) string {
 	return a.ip(balancer/balancersPerNet, firstSourceOctet+balancer%balancersPerNet)
 }
 
-// ip is an address in a net of this cluster. First nets and further ones lie in parts of loopback of their own.
+// ip returns an address in a net of this cluster. Net 0 and the extra nets lie in separate parts of loopback.
 func (a addressSpace) ip(net, last int) string {
 	if net == 0 {
 		return fmt.Sprintf("127.%d.%d.%d", 64+a.pid>>8&127, a.pid&255, last)
--- a/internal/trial/call.go
+++ b/internal/trial/call.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// callAdmin makes an operators' call.
+// callAdmin sends a request to a balancer's admin address, and returns the status and the trimmed body of the response. It
+// fails if there is no complete response within adminTimeout.
 func callAdmin(admin, method, path, body string) (status int, text string, err error) {
 	request, err := http.NewRequest(method, "http://"+admin+path, strings.NewReader(body))
 	if err != nil {
--- a/internal/trial/check_test.go
+++ b/internal/trial/check_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// validHistory is a history in which all rules are kept, with something of everything.
+// validHistory returns a history without violations that has events relevant to every rule.
 func validHistory() *History {
 	return &History{
 		Tolerance: 10 * ms,
@@ -23,8 +23,10 @@
 			{ID: "r1", Key: "k", Category: "read", Sent: 100 * ms, Done: 110 * ms, Outcome: Acked, Text: "k unwritten"},
 			{ID: "w1", Key: "k", Category: "put", Write: true, Sent: 200 * ms, Done: 220 * ms, Outcome: Acked, Text: "receipt-w1"},
 			{ID: "r2", Key: "k", Category: "read", Sent: 300 * ms, Done: 310 * ms, Outcome: Acked, Text: "k w1"},
-			{ID: "o1", Key: "k", Category: "once", Write: true, Sent: 400 * ms, Done: 410 * ms, Outcome: Nacked, Text: "SERVER_ERROR busy 9"},
-			{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 510 * ms, Outcome: Failed, Text: "SERVER_ERROR failed"},
+			{ID: "o1", Key: "k", Category: "once", Write: true, Sent: 400 * ms, Done: 410 * ms,
+				Outcome: Nacked, Text: "SERVER_ERROR busy 9"},
+			{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 510 * ms,
+				Outcome: Failed, Text: "SERVER_ERROR failed"},
 			{ID: "lost", Key: "k", Category: "read", Balancer: 1, Sent: 4900 * ms, Done: 5000 * ms, Outcome: Disconnected},
 			{ID: "none", Key: "k", Category: "read", Balancer: -1, Sent: 0, Done: 5100 * ms, Outcome: NotAccepted},
 		},
@@ -40,10 +42,10 @@
 	}
 }
 
-// Each checker finds a history that breaks just its rule.
+// Each rule must detect a history that violates it, and no other rule may report that history.
 func TestCheckersDetectViolations(t *testing.T) {
 	if all := validHistory().Check(); len(all) > 0 {
-		t.Fatalf("the history that keeps all: %v", all)
+		t.Fatalf("valid history: %v", all)
 	}
 	run := func(r *History, x standin.ReceivedPush) { r.Pushes = append(r.Pushes, x) }
 	for _, c := range []struct {
@@ -54,22 +56,24 @@
 		{"answers", "the connection ended", func(r *History) { r.Calls[0].Outcome = Disconnected }},
 		{"answers", "late", func(r *History) { r.Calls[3].Done = 1400 * ms }},
 		{"answers", "two answers", func(r *History) { r.Calls[0].ExtraAnswers = 1 }},
-		{"answers", "another write's receipt", func(r *History) { r.Calls[1].Text = "receipt-w2" }},
-		{"answers", "another op's answer", func(r *History) { r.Calls[4].Text = "answer of another op: VA 1 Ox" }},
-		{"answers", "lost long before the balancer ended", func(r *History) { r.Calls[5].Sent = 3000 * ms }},
-		{"answers", "its connection ended though it had been pushed", func(r *History) {
-			r.Calls[4] = Call{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 505 * ms, Outcome: Disconnected, ClosedInTransit: true}
+		{"answers", "the receipt of another write", func(r *History) { r.Calls[1].Text = "receipt-w2" }},
+		{"answers", "the answer of another op", func(r *History) { r.Calls[4].Text = "answer of another op: VA 1 Ox" }},
+		{"answers", "lost long before the balancer exited", func(r *History) { r.Calls[5].Sent = 3000 * ms }},
+		{"answers", "the connection was closed after the op was pushed", func(r *History) {
+			r.Calls[4] = Call{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 505 * ms,
+				Outcome: Disconnected, ClosedInTransit: true}
 		}},
 		{"moot", "pushed after the TTL", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 800 * ms})
 		}},
-		{"deadlines", "told the client's own time long after it was sent", func(r *History) {
-			run(r, standin.ReceivedPush{Host: "origin", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 400 * ms, Deadline: 400*ms + ttl})
+		{"deadlines", "the deadline is computed from the time of the push", func(r *History) {
+			run(r, standin.ReceivedPush{Host: "origin", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 400 * ms,
+				Deadline: 400*ms + ttl})
 		}},
 		{"effects", "ran twice", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "o2", Category: "once", ReceivedAt: 520 * ms, Executed: true})
 		}},
-		{"effects", "ran and was nacked", func(r *History) {
+		{"effects", "ran although it was nacked", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "o1", Category: "once", ReceivedAt: 420 * ms, Executed: true})
 		}},
 		{"window", "ran again too late", func(r *History) {
@@ -81,46 +85,48 @@
 		{"drains", "pushed to a banned host", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 3200 * ms})
 		}},
-		{"cold", "pushed over", func(r *History) { r.Pushes[4].CausedCrash = true }},
-		{"values", "read what was written before", func(r *History) { r.Calls[2].Text = "k unwritten" }},
-		{"values", "read what nobody wrote", func(r *History) { r.Calls[2].Text = "k w9" }},
-		{"values", "read another key's value", func(r *History) { r.Calls[2].Text = "j w1" }},
-		{"crashes", "ended by itself", func(r *History) { r.Balancers[0].Crash = "panic: x" }},
+		{"cold", "crashed from overload", func(r *History) { r.Pushes[4].CausedCrash = true }},
+		{"values", "read a stale value", func(r *History) { r.Calls[2].Text = "k unwritten" }},
+		{"values", "read a value that was never written", func(r *History) { r.Calls[2].Text = "k w9" }},
+		{"values", "read the value of another key", func(r *History) { r.Calls[2].Text = "j w1" }},
+		{"crashes", "exited on its own", func(r *History) { r.Balancers[0].Crash = "panic: x" }},
 	} {
 		r := validHistory()
 		c.spoil(r)
 		all := r.Check()
 		if len(all) != 1 || all[0].Rule != c.rule {
-			t.Errorf("%s: got %v, want one break of %s", c.name, all, c.rule)
+			t.Errorf("%s: got %v, want one violation of %s", c.name, all, c.rule)
 		}
 	}
 }
 
-// What a balancer could not help is not held against it.
+// Events that a balancer could not prevent must not count as violations.
 func TestExcusedBehavior(t *testing.T) {
 	for name, change := range map[string]func(r *History){
-		"told while it stood still": func(r *History) {
+		"host removed while the balancer was frozen": func(r *History) {
 			r.Lists = append(r.Lists, standin.SentList{View: "b3", SentAt: 5100 * ms, Phases: map[string]string{"h3": standin.Terminated}})
 			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "h3", ClientIP: "s3", OpID: "x", ReceivedAt: 6500 * ms})
 		},
-		"a ban that its process did not outlive": func(r *History) {
+		"ban ended with the balancer process": func(r *History) {
 			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 9000 * ms})
 		},
-		"back in service": func(r *History) {
+		"host back in service": func(r *History) {
 			r.Lists = append(r.Lists, standin.SentList{View: "b1", SentAt: 2500 * ms, Phases: map[string]string{"h1": standin.InService}})
 			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "h1", ClientIP: "s1", OpID: "x", ReceivedAt: 3600 * ms})
 		},
-		"a write that was pushed by a balancer that was then killed, and sent once more": func(r *History) {
+		"write pushed by a balancer that was then killed, and sent again": func(r *History) {
 			r.Calls = append(r.Calls, Call{ID: "w2", Key: "k", Category: "put", Write: true, Balancer: 1, Sent: 4990 * ms,
 				Done: 4995 * ms, Outcome: Disconnected, ClosedInTransit: true},
 				Call{ID: "r3", Key: "k", Category: "read", Sent: 6600 * ms, Done: 6610 * ms, Outcome: Acked, Text: "k w2"})
-			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "origin", ClientIP: "s2", OpID: "w2", Key: "k", Category: "put", Write: true,
+			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "origin", ClientIP: "s2", OpID: "w2",
+				Key: "k", Category: "put", Write: true,
 				ReceivedAt: 4991 * ms, Executed: true})
 		},
-		"a connection that was closed as a command crossed": func(r *History) {
-			r.Calls = append(r.Calls, Call{ID: "r4", Key: "k", Category: "read", Sent: 320 * ms, Done: 325 * ms, Outcome: Disconnected, ClosedInTransit: true})
+		"connection closed while the command was in transit": func(r *History) {
+			r.Calls = append(r.Calls, Call{ID: "r4", Key: "k", Category: "read", Sent: 320 * ms, Done: 325 * ms,
+				Outcome: Disconnected, ClosedInTransit: true})
 		},
-		"an op of a balancer that stood still": func(r *History) {
+		"op at a frozen balancer": func(r *History) {
 			r.Calls[0] = Call{ID: "r1", Key: "k", Category: "read", Balancer: 2, Sent: 4900 * ms, Done: 6100 * ms, Outcome: TimedOut}
 			r.Pushes[0].ClientIP, r.Pushes[0].ReceivedAt = "s3", 6050*ms
 		},
@@ -133,7 +139,7 @@
 	}
 }
 
-// A table for people names each break in words.
+// BrokenRules returns each violated rule once.
 func ExampleResult_BrokenRules() {
 	r := validHistory()
 	r.Calls[0].ExtraAnswers = 1
--- a/internal/trial/cluster.go
+++ b/internal/trial/cluster.go
@@ -1,18 +1,19 @@
-// Package trial starts a cluster of several processes of the program and injects faults into it. A plan says what
-// is started, what clients send, and what goes wrong when; Run plays it:
+// Package trial runs a cluster of real processes of the program on one machine, injects faults into it, and checks from
+// outside that its guarantees hold. A Plan defines the fleet, the load and the faults; Cluster.Run executes it.
 //
-//	plan.go, faults.go   what a plan may hold, read, checked, drawn, printed
-//	cluster.go           plays a plan from its start to its result
-//	address.go           the part of loopback that a cluster has to itself
-//	start.go             starts the fleet: stand-ins, links, start files, balancers
-//	inject.go            injects the plan's faults, each at its time
-//	process.go           a real process, its directory as its disk, its log as it comes
-//	link.go              the way from one balancer to one part, which can fail by itself
-//	load.go              clients that send at a rate whatever comes back
-//	check.go             rules, from what clients, hosts and discovery saw; never from the program's own word
-//	shrink.go, report.go the least plan that still fails, and what people read
+//	plan.go, faults.go   plans: parsing, validation, random generation
+//	cluster.go           execution of a plan
+//	address.go           loopback addresses of a cluster
+//	start.go             start of the fleet: stand-ins, links, start files, balancers
+//	inject.go            fault injection
+//	process.go           balancer processes, their directories and logs
+//	link.go              proxied connections between balancers and other parts
+//	load.go              open-loop load generator
+//	check.go             rules, checked against what clients, hosts and discovery observed
+//	result.go, report.go results and their presentation
+//	shrink.go            search for a smaller plan that still fails
 //
-// Cache hosts, origin and discovery are stand-ins (package standin). All addresses are loopback's.
+// Cache hosts, the origin and discovery are stand-ins (package standin). All addresses are loopback addresses.
 package trial
 
 import (
@@ -25,29 +26,29 @@
 )
 
 const (
-	targetLatency    = 200 * time.Millisecond // of each category
+	targetLatency    = 200 * time.Millisecond // of every category
 	ttl              = 600 * time.Millisecond
-	dedupWindow      = 400 * time.Millisecond // repeats of a deduplicated op
+	dedupWindow      = 400 * time.Millisecond // in which repeats of a deduplicated op are dropped
 	warmupTime       = 2 * time.Second        // until a restarted host is warm
-	coldShare        = 0.3                    // part of its capacity at which it starts
-	overloadMultiple = 3.0                    // sent so many times what it can do
-	overloadWindow   = time.Second            // for so long, a cold host falls
-	drainGrace       = time.Second            // after a balancer was told, nothing new goes to a draining or banned host
+	coldShare        = 0.3                    // share of its capacity that a cold host starts with
+	overloadMultiple = 3.0                    // multiple of its current capacity that overloads a cold host
+	overloadWindow   = time.Second            // after which an overloaded cold host crashes
+	drainGrace       = time.Second            // for a balancer to stop pushing to a draining or banned host
 	memoryMB         = 192
 	sockets          = 2048
-	settleTime       = 300 * time.Millisecond // from the fleet's start to the first op
-	adminTimeout     = 2 * time.Second        // for an operators' call
+	settleTime       = 300 * time.Millisecond // between the start of the fleet and the first op
+	adminTimeout     = 2 * time.Second        // of a request to a balancer's admin address or fault channel
 )
 
-// repeatModes are what ops there are, and how they may be repeated.
+// repeatModes maps each category of ops to the way in which its ops may be repeated.
 var repeatModes = map[string]string{"read": "retryable", "put": "dedup", "once": "fragile"}
 
-// Cluster is the processes, links and stand-ins of a trial, on which Run plays a plan.
+// Cluster runs plans on balancer processes, links and stand-ins. The exported fields configure it; Run resets all others.
 type Cluster struct {
-	Program string   // path of the program under trial
-	Args    []string // of a balancer
-	Env     []string // further environment of a balancer
-	Logf    func(form string, a ...any)
+	Program string   // path of the program under test
+	Args    []string // command line of a balancer
+	Env     []string // additional environment variables of a balancer
+	Logf    func(format string, a ...any)
 
 	plan      Plan
 	dir       string
@@ -62,17 +63,18 @@
 	admins   []string
 	injected []string
 	bans     []Ban
-	errs     []error // what the cluster itself could not do
+	errs     []error // failures of the cluster itself
 }
 
-// Ban is a host taken out by hand at a balancer. It binds from that balancer's yes to the call that ends it.
+// Ban is a host that an operator excluded at a balancer. It lasts from the balancer's confirmation to the request that lifts
+// it.
 type Ban struct {
 	Balancer, Host string
 	Span
 }
 
-// Run plays a plan, and returns what came of it. An error is the cluster's own: the plan can't be played here, or was broken
-// off. What the plan breaks stands in the result.
+// Run executes a plan and returns its result, which holds any rule violations and any faults that could not be injected.
+// It returns an error if the plan is invalid, if the fleet can't be started, or if ctx ends before the load does.
 func (c *Cluster) Run(ctx context.Context, p Plan) (*Result, error) {
 	if err := p.validate([]int{0, 0}); err != nil {
 		return nil, err
@@ -86,25 +88,25 @@
 		return nil, err
 	}
 	time.Sleep(settleTime)
-	began := c.fleet.Elapsed()
-	l := newLoad(p, c.listens, c.fleet.Elapsed)
+	loadStart := c.fleet.Elapsed()
+	l := newLoadGenerator(p, c.listens, c.fleet.Elapsed)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		c.injectAll(ctx, began)
+		c.injectAll(ctx, loadStart)
 	}()
-	err := l.run(ctx, began, func(at time.Duration, sent int) { c.Logf("%4.0f s  %d ops\n", at.Seconds(), sent) })
+	err := l.run(ctx, loadStart, func(at time.Duration, sent int) { c.Logf("%4.0f s  %d ops\n", at.Seconds(), sent) })
 	wg.Wait()
 	if err != nil {
 		return nil, err
 	}
-	return c.buildResult(began, l), nil
+	return c.buildResult(loadStart, l), nil
 }
 
-// cleanup ends all that start began.
+// cleanup stops all processes, links and stand-ins and removes the cluster's directory.
 func (c *Cluster) cleanup() {
 	for _, p := range c.processes {
 		p.Kill()
--- a/internal/trial/inject.go
+++ b/internal/trial/inject.go
@@ -13,20 +13,20 @@
 	"larchthread/internal/standin"
 )
 
-// faultEvent is a fault's beginning or end.
+// faultEvent is the beginning or the end of a fault.
 type faultEvent struct {
 	at    time.Duration
 	fault Fault
 	end   bool
 }
 
-// events are all beginnings and ends in their order: by time, of one time ends first, then as the plan has them. So two
-// faults of one instant are injected in the same order each time.
+// events returns the beginnings and ends of all faults by time. At the same time ends come first, then the order of the plan
+// decides, so that the same plan always injects its faults in the same order.
 func (p Plan) events() (all []faultEvent) {
-	for _, x := range p.sortedFaults() {
-		all = append(all, faultEvent{x.At.d(), x, false})
-		if x.Duration > 0 {
-			all = append(all, faultEvent{(x.At + x.Duration).d(), x, true})
+	for _, fault := range p.sortedFaults() {
+		all = append(all, faultEvent{fault.At.d(), fault, false})
+		if fault.Duration > 0 {
+			all = append(all, faultEvent{(fault.At + fault.Duration).d(), fault, true})
 		}
 	}
 	slices.SortStableFunc(all, func(x, y faultEvent) int {
@@ -35,7 +35,7 @@
 	return all
 }
 
-// eventOrder has ends come before beginnings.
+// eventOrder sorts ends before beginnings.
 func eventOrder(end bool) int {
 	if end {
 		return 0
@@ -43,31 +43,32 @@
 	return 1
 }
 
-// injectAll injects the plan's faults. Each has its turn, and what takes its time goes on beside the next.
-func (c *Cluster) injectAll(ctx context.Context, began time.Duration) {
+// injectAll injects the plan's faults at their times. Faults of balancers and bans may take long and run concurrently, but
+// those with the same targets run one after another. It returns when all have been injected, or soon after ctx ends.
+func (c *Cluster) injectAll(ctx context.Context, loadStart time.Duration) {
 	var pending sync.WaitGroup
 	defer pending.Wait()
-	queues := map[string]chan struct{}{} // a fault of a process waits for the one before it
-	for _, m := range c.plan.events() {
+	queues := map[string]chan struct{}{} // by targets: closed when their last fault has been injected
+	for _, event := range c.plan.events() {
 		select {
-		case <-time.After(began + m.at - c.fleet.Elapsed()):
+		case <-time.After(loadStart + event.at - c.fleet.Elapsed()):
 		case <-ctx.Done():
 			return
 		}
-		text := m.fault.String()
-		if m.end {
-			text = fmt.Sprintf("%6.2fs end of %s", m.at.Seconds(), strings.TrimSpace(text))
+		text := event.fault.String()
+		if event.end {
+			text = fmt.Sprintf("%6.2fs end of %s", event.at.Seconds(), strings.TrimSpace(text))
 		}
 		c.mu.Lock()
 		c.injected = append(c.injected, text)
 		c.mu.Unlock()
 		c.Logf("%s\n", text)
-		k := faultKinds[m.fault.Kind]
-		if k.site != atBalancers && m.fault.Kind != "ban" {
-			c.recordError(c.inject(m.fault, m.end, began))
+		k := faultKinds[event.fault.Kind]
+		if k.site != atBalancers && event.fault.Kind != "ban" {
+			c.recordError(c.inject(event.fault, event.end, loadStart))
 			continue
 		}
-		queue := strings.Join(m.fault.Parts, ",")
+		queue := strings.Join(event.fault.Parts, ",")
 		previous, done := queues[queue], make(chan struct{})
 		queues[queue] = done
 		pending.Add(1)
@@ -77,7 +78,7 @@
 			if previous != nil {
 				<-previous
 			}
-			c.recordError(c.inject(m.fault, m.end, began))
+			c.recordError(c.inject(event.fault, event.end, loadStart))
 		}()
 	}
 }
@@ -91,35 +92,35 @@
 }
 
 // inject begins a fault, or ends it.
-func (c *Cluster) inject(x Fault, end bool, began time.Duration) error {
-	of, to, err := x.targets(c.plan.Fleet)
+func (c *Cluster) inject(fault Fault, end bool, loadStart time.Duration) error {
+	of, to, err := fault.targets(c.plan.Fleet)
 	if err != nil {
 		return err
 	}
-	switch faultKinds[x.Kind].site {
+	switch faultKinds[fault.Kind].site {
 	case atBalancers:
-		return forEach(of, func(name string) error { return c.injectProcessFault(x, name, end) })
+		return forEach(of, func(name string) error { return c.injectProcessFault(fault, name, end) })
 	case atHosts, atServers:
-		return forEach(of, func(name string) error { return c.injectServerFault(x, name, end) })
+		return forEach(of, func(name string) error { return c.injectServerFault(fault, name, end) })
 	case atDiscovery:
-		if x.Kind == "silent" {
+		if fault.Kind == "silent" {
 			c.fleet.Discovery.SetSilent(!end)
 			return nil
 		}
 		delay := time.Duration(0)
-		if ms, err := x.Magnitude.number(); !end && err == nil {
+		if ms, err := fault.Magnitude.number(); !end && err == nil {
 			delay = time.Duration(ms * float64(time.Millisecond))
 		}
 		c.fleet.Discovery.SetDelay(delay)
 	case atLinks:
 		return forEach(of, func(b string) error {
-			return forEach(to, func(part string) error { c.injectLinkFault(x, c.links[[2]string{b, part}], end); return nil })
+			return forEach(to, func(part string) error { c.injectLinkFault(fault, c.links[[2]string{b, part}], end); return nil })
 		})
 	}
 	return nil
 }
 
-// forEach does something for all names, and joins what went wrong.
+// forEach calls do with each name and joins the errors.
 func forEach(names []string, do func(name string) error) error {
 	var all []error
 	for _, n := range names {
@@ -128,42 +129,42 @@
 	return errors.Join(all...)
 }
 
-func (c *Cluster) injectProcessFault(x Fault, name string, end bool) error {
+func (c *Cluster) injectProcessFault(fault Fault, name string, end bool) error {
 	i := partIndex(name)
 	p := c.processes[i]
 	switch {
-	case x.Kind == "disk" && end:
+	case fault.Kind == "disk" && end:
 		return p.sendFault("disk well")
-	case x.Kind == "disk":
-		return p.sendFault("disk " + string(x.Magnitude))
-	case x.Kind == "clock" && end:
+	case fault.Kind == "disk":
+		return p.sendFault("disk " + string(fault.Magnitude))
+	case fault.Kind == "clock" && end:
 		return p.sendFault("clock 0s")
-	case x.Kind == "clock":
-		return p.sendFault("clock " + string(x.Magnitude))
-	case x.Kind == "freeze" && end:
+	case fault.Kind == "clock":
+		return p.sendFault("clock " + string(fault.Magnitude))
+	case fault.Kind == "freeze" && end:
 		return p.Thaw()
 	case end:
 		return c.launch(i, func() error { return c.rewriteConfig(i) })
-	case x.Kind == "kill":
+	case fault.Kind == "kill":
 		return p.Kill()
-	case x.Kind == "term":
+	case fault.Kind == "term":
 		return p.Terminate()
-	case x.Kind == "wipe":
+	case fault.Kind == "wipe":
 		return errors.Join(p.Kill(), p.ClearDir())
-	case x.Kind == "freeze":
+	case fault.Kind == "freeze":
 		return p.Freeze()
 	}
-	program := c.Program // upgrade
-	if x.Program != "" {
-		program = x.Program
+	program := c.Program // the fault is an upgrade
+	if fault.Program != "" {
+		program = fault.Program
 	}
 	return p.replace(func() error { return c.rewriteConfig(i) }, program, c.Args...)
 }
 
-func (c *Cluster) injectServerFault(x Fault, name string, end bool) error {
+func (c *Cluster) injectServerFault(fault Fault, name string, end bool) error {
 	var mode standin.FaultMode
-	if by, _ := x.Magnitude.number(); !end { // a plan's figures are checked before it is played
-		switch x.Kind {
+	if by, _ := fault.Magnitude.number(); !end { // plans are validated before they run
+		switch fault.Kind {
 		case "hang":
 			mode.Hang = true
 		case "slow":
@@ -182,7 +183,7 @@
 	}
 	h := c.fleet.Hosts()[partIndex(name)]
 	discovery := c.fleet.Discovery
-	switch x.Kind {
+	switch fault.Kind {
 	case "die":
 		if !end {
 			h.Kill()
@@ -210,8 +211,8 @@
 	return nil
 }
 
-// setBan takes a host out by hand at one balancer, or puts it back. A balancer that is not there can't be told: what it does
-// not know does not bind it.
+// setBan enters or exits maintenance of a host at one balancer. A balancer that can't be reached, or refuses, is logged and
+// not recorded: it is not bound by a ban that it does not know.
 func (c *Cluster) setBan(balancer, host string, end bool) error {
 	i := partIndex(balancer)
 	c.mu.Lock()
@@ -245,8 +246,8 @@
 	}
 }
 
-func (c *Cluster) injectLinkFault(x Fault, l *Link, end bool) {
-	switch x.Kind {
+func (c *Cluster) injectLinkFault(fault Fault, l *Link, end bool) {
+	switch fault.Kind {
 	case "cut":
 		l.SetCut(!end)
 		return
@@ -255,8 +256,8 @@
 		return
 	}
 	var f Impairment
-	if by, _ := x.Magnitude.number(); !end {
-		switch x.Kind {
+	if by, _ := fault.Magnitude.number(); !end {
+		switch fault.Kind {
 		case "hole":
 			f.Blackhole = true
 		case "delay":
@@ -268,10 +269,10 @@
 			f.ResetAfter = int(by)
 		}
 	}
-	if x.Direction != "back" {
+	if fault.Direction != "back" {
 		l.SetImpairment(Out, f)
 	}
-	if x.Direction != "out" {
+	if fault.Direction != "out" {
 		l.SetImpairment(Back, f)
 	}
 }
--- a/internal/trial/link.go
+++ b/internal/trial/link.go
@@ -12,51 +12,51 @@
 )
 
 const (
-	chunkSize       = 16 << 10 // bytes that a link reads at once
-	maxQueuedChunks = 64       // that it holds for each direction of a connection; then the sender has to wait
+	chunkSize       = 16 << 10 // read at once
+	maxQueuedChunks = 64       // per direction of a connection; beyond that the sender is blocked
 )
 
-// Direction is a direction of a link.
+// Direction is a direction of traffic on a link.
 type Direction int
 
 const (
 	Out  Direction = iota // from the balancer
-	Back                  // to it
+	Back                  // to the balancer
 )
 
-// Impairment is what is wrong with a direction of a link. The zero Impairment is nothing.
+// Impairment describes how one direction of a link is impaired. The zero value is no impairment.
 type Impairment struct {
-	Blackhole  bool          // bytes are taken and never passed on; connections are reset once it is over
-	Delay      time.Duration // each byte is so late
-	Jitter     time.Duration // and at most so much later still, in their order
-	Rate       float64       // bytes a second; 0: as many as come
-	ResetAfter int           // once this many bytes more have passed the connection is reset amid them; 0: never
+	Blackhole  bool          // data is read and discarded; affected connections are reset when the blackhole ends
+	Delay      time.Duration // added to all data
+	Jitter     time.Duration // upper limit of a further random delay, which keeps the order of data
+	Rate       float64       // bytes per second; 0: unlimited
+	ResetAfter int           // bytes after which each connection is reset; 0: never
 }
 
-// Link is the way from one balancer to one part: a relay of its own, so that each can fail by itself. Cut, it resets what
-// there is and refuses what is new.
+// Link is a TCP proxy from one balancer to one other part, so that each such path can fail on its own. A cut link resets its
+// connections and refuses new ones.
 type Link struct {
 	Balancer, Part string
 
-	target   func() string // the part's address
-	source   net.IP        // what the part sees the balancer as
+	target   func() string // returns the address of the part
+	source   net.IP        // source address of connections to the part
 	address  string
 	listener net.Listener
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	cut         bool
-	single      bool // one connection at a time: further ones are refused
+	single      bool // only one connection at a time is accepted
 	impairments [2]Impairment
-	changed     chan struct{} // closed with each change
+	changed     chan struct{} // closed and replaced when a setting changes
 	connections map[*proxiedConn]bool
 	closed      bool
 }
 
-// proxiedConn is a connection and the one that goes on behind the link.
+// proxiedConn is a pair of connections: near from the balancer, far to the part.
 type proxiedConn struct {
 	near, far  net.Conn
-	lostBytes  bool // bytes were lost on it
+	lostBytes  bool // data was discarded in a blackhole
 	untilReset [2]int
 }
 
@@ -71,47 +71,48 @@
 	return l, nil
 }
 
-// OpenLink opens a link that belongs to no ground, from one process to another. It listens on ip, connects to what target
-// returns at the time, and is seen there as source. The seed is that of its jitter.
+// OpenLink opens a link between two processes outside a Cluster. It listens on a free port of ip, connects from the address
+// source to the address that target returns at that time, and draws its jitter from seed. It returns an error if it can't
+// listen.
 func OpenLink(from, to, ip string, source net.IP, seed uint64, target func() string) (*Link, error) {
 	return newLink(from, to, ip, source, seed, target)
 }
 
-// Close ends the link and resets all its connections.
+// Close closes the link and resets all its connections.
 func (l *Link) Close() { l.close() }
 
-// Address is what the balancer is told as the part's.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.address }
 
-// SetCut resets all connections and refuses new ones while it is on.
+// SetCut cuts the link or restores it. A cut link resets all connections and refuses new ones.
 func (l *Link) SetCut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut = on; on {
-		for j := range l.connections {
-			j.reset()
+		for conn := range l.connections {
+			conn.reset()
 		}
 	}
 	l.notifyChanged()
 }
 
-// SetSingle has a second connection refused while one is open.
+// SetSingle limits the link to one connection at a time, or lifts that limit. Further connections are refused.
 func (l *Link) SetSingle(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.single = on
 }
 
-// SetImpairment changes what is wrong with a direction. The end of a hole resets what has lost bytes in it.
-func (l *Link) SetImpairment(w Direction, f Impairment) {
+// SetImpairment sets the impairment of one direction. If that ends a blackhole, connections that lost data are reset.
+func (l *Link) SetImpairment(d Direction, impairment Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was := l.impairments[w]
-	l.impairments[w] = f
-	for j := range l.connections {
-		j.untilReset[w] = f.ResetAfter
-		if was.Blackhole && !f.Blackhole && j.lostBytes {
-			j.reset()
+	was := l.impairments[d]
+	l.impairments[d] = impairment
+	for conn := range l.connections {
+		conn.untilReset[d] = impairment.ResetAfter
+		if was.Blackhole && !impairment.Blackhole && conn.lostBytes {
+			conn.reset()
 		}
 	}
 	l.notifyChanged()
@@ -127,105 +128,106 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	for j := range l.connections {
-		j.reset()
+	for conn := range l.connections {
+		conn.reset()
 	}
 	l.notifyChanged()
 }
 
-func (j *proxiedConn) reset() {
-	standin.ResetConn(j.near)
-	standin.ResetConn(j.far)
+func (conn *proxiedConn) reset() {
+	standin.ResetConn(conn.near)
+	standin.ResetConn(conn.far)
 }
 
 func (l *Link) accept() {
 	for {
-		c, err := l.listener.Accept()
+		near, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.proxy(c)
+		go l.proxy(near)
 	}
 }
 
-// proxy goes on behind the link. A connection that can't is reset, as if it had been refused. In a hole none comes up: what
-// asked for one is reset once that is over, with all that it has sent.
-func (l *Link) proxy(c net.Conn) {
-	j := &proxiedConn{near: c, far: c}
+// proxy connects an accepted connection to the part and forwards data both ways until both are done. If that is not
+// possible, the connection is reset. During a blackhole nothing is connected; connections accepted in the meantime are reset
+// when it ends.
+func (l *Link) proxy(near net.Conn) {
+	conn := &proxiedConn{near: near, far: near}
 	for hasWaited := false; ; hasWaited = true {
 		l.mu.Lock()
 		refused := l.cut || l.closed || l.single && len(l.connections) > 0
-		hole, change := l.impairments[Out].Blackhole || l.impairments[Back].Blackhole, l.changed
+		blackholed, changed := l.impairments[Out].Blackhole || l.impairments[Back].Blackhole, l.changed
 		l.mu.Unlock()
-		if refused || hasWaited && !hole {
-			j.reset()
+		if refused || hasWaited && !blackholed {
+			conn.reset()
 			return
 		}
-		if !hole {
+		if !blackholed {
 			break
 		}
-		<-change
+		<-changed
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: l.source}, Timeout: 2 * time.Second}
 	far, err := d.Dial("tcp", l.target())
 	if err != nil {
-		j.reset()
+		conn.reset()
 		return
 	}
-	j.far = far
+	conn.far = far
 	l.mu.Lock()
 	if l.cut || l.closed {
 		l.mu.Unlock()
-		j.reset()
+		conn.reset()
 		return
 	}
-	for w := range j.untilReset {
-		j.untilReset[w] = l.impairments[w].ResetAfter
+	for dir := range conn.untilReset {
+		conn.untilReset[dir] = l.impairments[dir].ResetAfter
 	}
-	l.connections[j] = true
+	l.connections[conn] = true
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Add(2)
-	go l.forward(j, Out, far, c, &both)
-	go l.forward(j, Back, c, far, &both)
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Add(2)
+	go l.forward(conn, Out, far, near, &wg)
+	go l.forward(conn, Back, near, far, &wg)
+	wg.Wait()
 	l.mu.Lock()
-	delete(l.connections, j)
+	delete(l.connections, conn)
 	l.mu.Unlock()
-	c.Close()
+	near.Close()
 	far.Close()
 }
 
-// chunk is bytes on their way.
+// chunk is data in transit and the time at which it is delivered.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// forward carries one direction to its end.
-func (l *Link) forward(j *proxiedConn, d Direction, to, from net.Conn, both *sync.WaitGroup) {
-	defer both.Done()
+// forward forwards one direction of a connection until it ends, and passes on a half-close or a reset.
+func (l *Link) forward(conn *proxiedConn, d Direction, to, from net.Conn, wg *sync.WaitGroup) {
+	defer wg.Done()
 	queue := make(chan chunk, maxQueuedChunks)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.deliver(j, d, to, queue)
+		l.deliver(conn, d, to, queue)
 	}()
 	var last time.Time
 	for buf := make([]byte, chunkSize); ; {
 		n, err := from.Read(buf)
 		if n > 0 {
 			l.mu.Lock()
-			f := l.impairments[d]
-			delay := f.Delay
-			if f.Jitter > 0 {
-				delay += time.Duration(l.rng.Int64N(int64(f.Jitter)))
+			impairment := l.impairments[d]
+			delay := impairment.Delay
+			if impairment.Jitter > 0 {
+				delay += time.Duration(l.rng.Int64N(int64(impairment.Jitter)))
 			}
-			if f.Blackhole {
-				j.lostBytes = true
+			if impairment.Blackhole {
+				conn.lostBytes = true
 			}
 			l.mu.Unlock()
-			if !f.Blackhole {
+			if !impairment.Blackhole {
 				due := time.Now().Add(delay)
 				if due.Before(last) {
 					due = last
@@ -242,42 +244,42 @@
 					t.CloseWrite()
 				}
 			} else {
-				j.reset()
+				conn.reset()
 			}
 			return
 		}
 	}
 }
 
-// deliver writes pieces as they fall due.
-func (l *Link) deliver(j *proxiedConn, d Direction, to net.Conn, queue <-chan chunk) {
+// deliver writes chunks when they are due.
+func (l *Link) deliver(conn *proxiedConn, d Direction, to net.Conn, queue <-chan chunk) {
 	for p := range queue {
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
 		}
 		l.mu.Lock()
 		rate, shouldReset := l.impairments[d].Rate, false
-		if hole := l.impairments[d].Blackhole; hole { // what was on its way is lost with it
-			j.lostBytes = true
+		if blackholed := l.impairments[d].Blackhole; blackholed { // data in transit is lost too
+			conn.lostBytes = true
 			l.mu.Unlock()
 			continue
 		}
-		if remaining := j.untilReset[d]; remaining > 0 {
+		if remaining := conn.untilReset[d]; remaining > 0 {
 			if shouldReset = len(p.data) >= remaining; shouldReset {
 				p.data = p.data[:remaining]
 			}
-			j.untilReset[d] = max(remaining-len(p.data), 0)
+			conn.untilReset[d] = max(remaining-len(p.data), 0)
 		}
 		l.mu.Unlock()
 		if rate > 0 {
 			time.Sleep(time.Duration(float64(len(p.data)) / rate * float64(time.Second)))
 		}
 		if _, err := to.Write(p.data); err != nil {
-			j.reset()
+			conn.reset()
 		}
 		if shouldReset {
-			time.Sleep(time.Millisecond) // so that the bytes before the reset arrive
-			j.reset()
+			time.Sleep(time.Millisecond) // lets the data arrive before the reset
+			conn.reset()
 		}
 	}
 }
--- a/internal/trial/link_test.go
+++ b/internal/trial/link_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newTestLink is a link to a server that answers each byte with so many.
+// newTestLink returns a link to a server that answers each byte with the given number of bytes, and a function that dials it.
 func newTestLink(t *testing.T, answer int) (*Link, func() net.Conn) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,17 +48,17 @@
 	}
 }
 
-// roundTrip sends a byte and takes the answer of so many; it returns what was read and for how long it was waited.
+// roundTrip sends a byte and reads an answer of want bytes. It returns the number of bytes read and the time taken.
 func roundTrip(c net.Conn, want int) (int, time.Duration, error) {
-	began := time.Now()
+	start := time.Now()
 	if _, err := c.Write([]byte{1}); err != nil {
 		return 0, 0, err
 	}
 	n, err := io.ReadFull(c, make([]byte, want))
-	return n, time.Since(began), err
+	return n, time.Since(start), err
 }
 
-// refusesConns tells whether a link takes no connection: it is reset as it comes up, or with the first byte.
+// refusesConns reports whether a link resets a new connection before any data is answered.
 func refusesConns(l *Link) bool {
 	c, err := net.Dial("tcp", l.Address())
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// A cut resets what there is, also while bytes of an answer are held, and refuses what is new until it is over.
+// A cut resets connections, also while an answer is delayed in the link, and refuses new ones until it is lifted.
 func TestCutDuringAnswer(t *testing.T) {
 	l, dial := newTestLink(t, 1000)
 	l.SetImpairment(Back, Impairment{Delay: time.Hour})
@@ -94,40 +94,40 @@
 		t.Fatalf("a cut: %d bytes, %v", n, err)
 	}
 	if !refusesConns(l) {
-		t.Fatal("taken while it is cut")
+		t.Fatal("accepted while the link is cut")
 	}
 	l.SetImpairment(Back, Impairment{})
 	l.SetCut(false)
 	if n, _, err := roundTrip(dial(), 1000); err != nil {
-		t.Fatal("after it:", n, err)
+		t.Fatal("after the cut:", n, err)
 	}
 }
 
-// In a hole of one direction nothing arrives; at its end what lost bytes is reset, and new connections are made.
-func TestHole(t *testing.T) {
-	for _, w := range []Direction{Out, Back} {
+// In a blackhole of one direction nothing arrives. At its end affected connections are reset and new ones work.
+func TestBlackhole(t *testing.T) {
+	for _, direction := range []Direction{Out, Back} {
 		l, dial := newTestLink(t, 10)
 		c := dial()
 		roundTrip(c, 10)
-		l.SetImpairment(w, Impairment{Blackhole: true})
+		l.SetImpairment(direction, Impairment{Blackhole: true})
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			l.SetImpairment(w, Impairment{})
+			l.SetImpairment(direction, Impairment{})
 		}()
 		if n, took, err := roundTrip(c, 10); n > 0 || !isReset(err) || took < 100*time.Millisecond {
-			t.Fatalf("way %d: %d bytes after %v, %v", w, n, took, err)
+			t.Fatalf("direction %d: %d bytes after %v, %v", direction, n, took, err)
 		}
 		if n, _, err := roundTrip(dial(), 10); err != nil {
-			t.Fatalf("way %d after it: %d %v", w, n, err)
+			t.Fatalf("direction %d, after the blackhole: %d bytes, %v", direction, n, err)
 		}
-		l.SetImpairment(w, Impairment{Blackhole: true})
+		l.SetImpairment(direction, Impairment{Blackhole: true})
 		asked := dial()
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			l.SetImpairment(w, Impairment{})
+			l.SetImpairment(direction, Impairment{})
 		}()
 		if n, _, err := roundTrip(asked, 10); n > 0 || !isReset(err) {
-			t.Fatalf("way %d, asked for in the hole: %d bytes, %v", w, n, err)
+			t.Fatalf("direction %d, connected during the blackhole: %d bytes, %v", direction, n, err)
 		}
 	}
 }
@@ -154,6 +154,6 @@
 	l.SetSingle(true)
 	roundTrip(dial(), 10)
 	if !refusesConns(l) {
-		t.Fatal("a second one is taken")
+		t.Fatal("a second connection is accepted")
 	}
 }
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -20,64 +20,64 @@
 )
 
 const (
-	answerTolerance = 150 * time.Millisecond // behind an op's TTL in which its answer counts still: the load generator's own lateness
-	strayAnswerWait = 400 * time.Millisecond // after the last op, for answers that nobody should send
+	answerTolerance = 150 * time.Millisecond // after the TTL in which an answer still counts; covers delays of the load generator
+	strayAnswerWait = 400 * time.Millisecond // after the last op, for unexpected answers
 	connectTimeout  = 500 * time.Millisecond
-	closeRaceWindow = 10 * time.Millisecond // within which the end of a kept connection crossed the command
+	closeRaceWindow = 10 * time.Millisecond // within which the close of a reused connection counts as a race with the command
 )
 
-// Result of an op, as its client saw it.
+// Outcome is the result of an op from the client's point of view.
 type Outcome string
 
 const (
 	Acked        Outcome = "acked"
-	Nacked       Outcome = "nacked"  // with the word that a repeat is safe
+	Nacked       Outcome = "nacked"  // answered as safe to repeat
 	Failed       Outcome = "failed"  // any other answer
-	Disconnected Outcome = "cut"     // its connection ended with no whole answer
-	TimedOut     Outcome = "silent"  // none within its time
-	NotAccepted  Outcome = "untaken" // no balancer took it
+	Disconnected Outcome = "cut"     // the connection ended before a complete answer
+	TimedOut     Outcome = "silent"  // no answer in time
+	NotAccepted  Outcome = "untaken" // no balancer accepted a connection
 )
 
-// Call is an op, as its client saw it. Times are since the fleet's start.
+// Call is an op from the client's point of view. Times are since the fleet was started.
 type Call struct {
 	ID              string
 	Key             string
 	Category        string
 	Write           bool
-	Balancer        int           // by its number from 0, -1 where none took it
-	Due             time.Duration // when it was to be sent
-	Sent            time.Duration // when its last byte was written
+	Balancer        int           // number from 0; -1: no balancer accepted a connection
+	Due             time.Duration // when it was scheduled
+	Sent            time.Duration // when its command was written
 	Done            time.Duration
 	Outcome         Outcome
-	Text            string // of the answer: what was read, or its first line
-	ExtraAnswers    int    // further answers, or bytes of none
-	ClosedInTransit bool   // its connection was closed as the command crossed, and it was sent once more, as another op
+	Text            string // value or first line of the answer
+	ExtraAnswers    int    // unexpected answers or data after the answer
+	ClosedInTransit bool   // its reused connection was closed as the command was sent, and the op was sent again under another ID
 }
 
-// loadGenerator sends ops at a plan's rate, whatever comes back.
+// loadGenerator sends ops at the rate of a plan, independent of the answers (open loop).
 type loadGenerator struct {
 	plan       Plan
 	addresses  []string
 	now        func() time.Duration
 	rng        *rand.Rand
-	popularity []float64 // summed popularity
+	popularity []float64 // cumulative, by key
 
 	mu         sync.Mutex
 	calls      []Call
-	idle       [][]*clientConn // connections by balancer
+	idle       [][]*clientConn // reusable connections by balancer
 	sendDelays *hdrhistogram.Histogram
 }
 
-// clientConn is a client's connection.
+// clientConn is a client's connection to a balancer.
 type clientConn struct {
 	net.Conn
 	r        *bufio.Reader
-	lastCall int // the call that was last answered on it, by its place
+	lastCall int // index of the call that was last answered on it, or -1
 }
 
-func newLoad(p Plan, listens []string, now func() time.Duration) *loadGenerator {
-	l := &loadGenerator{plan: p, addresses: listens, now: now, rng: rand.New(rand.NewPCG(p.Seed, 11)), idle: make([][]*clientConn, len(listens)),
-		sendDelays: newHistogram()}
+func newLoadGenerator(p Plan, listens []string, now func() time.Duration) *loadGenerator {
+	l := &loadGenerator{plan: p, addresses: listens, now: now, rng: rand.New(rand.NewPCG(p.Seed, 11)),
+		idle: make([][]*clientConn, len(listens)), sendDelays: newHistogram()}
 	sum := 0.0
 	for i := range p.Load.Keys {
 		sum += math.Pow(float64(i+1), -p.Load.Skew)
@@ -86,12 +86,12 @@
 	return l
 }
 
-// newHistogram is of microseconds, up to a minute.
+// newHistogram returns a histogram of microseconds, up to a minute.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-// rate is ops a second at a time of the load.
+// rate returns the ops per second at a time since the start of the load.
 func (l *loadGenerator) rate(at time.Duration) float64 {
 	rate := l.plan.Load.Rate
 	for _, b := range l.plan.Load.Bursts {
@@ -102,8 +102,9 @@
 	return rate
 }
 
-// run sends all, and waits until the last op is over. tell is told each second of how far it is.
-func (l *loadGenerator) run(ctx context.Context, began time.Duration, progress func(at time.Duration, sent int)) error {
+// run sends all ops and waits until the last one is done. Each second it calls progress with the time and the number of ops
+// so far. It returns an error if ctx ends first.
+func (l *loadGenerator) run(ctx context.Context, loadStart time.Duration, progress func(at time.Duration, sent int)) error {
 	var inFlight sync.WaitGroup
 	second := time.Second
 	end := l.plan.Load.Duration.d()
@@ -116,7 +117,7 @@
 		if at >= end {
 			break
 		}
-		c := l.nextOp(began + at)
+		c := l.nextOp(loadStart + at)
 		if wait := c.Due - l.now(); wait > 0 {
 			select {
 			case <-time.After(wait):
@@ -141,7 +142,7 @@
 	return ctx.Err()
 }
 
-// nextOp draws an op.
+// nextOp draws the balancer, key and category of an op.
 func (l *loadGenerator) nextOp(due time.Duration) Call {
 	at, _ := slices.BinarySearch(l.popularity, l.rng.Float64()*l.popularity[len(l.popularity)-1])
 	c := Call{ID: fmt.Sprintf("%016x", l.rng.Uint64()), Key: fmt.Sprintf("key-%d", min(at, len(l.popularity)-1)), Due: due,
@@ -161,7 +162,8 @@
 	return c
 }
 
-// sendOp sends an op and notes what comes of it. A balancer that takes no connection is passed over once, as a front would.
+// sendOp sends an op and records its outcome. If a balancer accepts no connection the next one is tried, as a load balancer
+// in front would do.
 func (l *loadGenerator) sendOp(index int, c Call) {
 	for range l.addresses {
 		conn, err := l.acquireConn(c.Balancer)
@@ -172,12 +174,12 @@
 		reused := conn.lastCall >= 0
 		l.exchange(conn, &c)
 		if reused && c.Outcome == Disconnected && c.Text == "" && c.Done-c.Sent < closeRaceWindow {
-			// The connection was closed as the command crossed: clients send it once more, on a new one.
+			// The connection was closed as the command was sent. Clients send the op again on a new connection.
 			conn.Close()
 			first := c
 			first.ClosedInTransit = true
 			l.mu.Lock()
-			l.calls = append(l.calls, first) // it may have run all the same
+			l.calls = append(l.calls, first) // it may have run nevertheless
 			l.mu.Unlock()
 			c.ID = c.ID[:15] + "r"
 			if conn, err = dial(l.addresses[c.Balancer]); err != nil {
@@ -208,7 +210,7 @@
 	l.calls[index] = c
 }
 
-// acquireConn is a connection to a balancer at rest, or a new one.
+// acquireConn returns an idle connection to a balancer, or a new one.
 func (l *loadGenerator) acquireConn(balancer int) (*clientConn, error) {
 	for {
 		l.mu.Lock()
@@ -226,7 +228,8 @@
 	}
 }
 
-// isUsable tells whether a connection at rest is still usable. Bytes on it are an answer too many for the op before.
+// isUsable reports whether an idle connection can be reused, and closes it otherwise. Pending data counts as an extra answer to
+// the last op on it.
 func (l *loadGenerator) isUsable(c *clientConn) bool {
 	c.SetReadDeadline(time.Now())
 	_, err := c.r.Peek(1)
@@ -242,7 +245,7 @@
 	return true
 }
 
-// checkStrayAnswers looks at all connections once more, for answers that nobody asked for.
+// checkStrayAnswers waits, looks for unexpected answers on all idle connections, and closes them.
 func (l *loadGenerator) checkStrayAnswers() {
 	time.Sleep(strayAnswerWait)
 	for _, conns := range l.idle {
@@ -262,7 +265,7 @@
 	return &clientConn{c, bufio.NewReader(c), -1}, nil
 }
 
-// exchange sends an op's command and takes its answer.
+// exchange sends the command of an op and reads its answer.
 func (l *loadGenerator) exchange(conn *clientConn, c *Call) {
 	text := fmt.Sprintf("mg %s v O%s Pc=%s,d=%d\r\n", c.Key, c.ID, c.Category, ttl.Milliseconds())
 	if c.Write {
@@ -270,7 +273,8 @@
 		if repeatModes[c.Category] == "dedup" {
 			dedupKey = ",k=" + c.ID
 		}
-		text = fmt.Sprintf("ms %s %d O%s Pc=%s,d=%d%s\r\n%s\r\n", c.Key, len(c.ID), c.ID, c.Category, ttl.Milliseconds(), dedupKey, c.ID)
+		text = fmt.Sprintf("ms %s %d O%s Pc=%s,d=%d%s\r\n%s\r\n", c.Key,
+			len(c.ID), c.ID, c.Category, ttl.Milliseconds(), dedupKey, c.ID)
 	}
 	conn.SetDeadline(time.Now().Add(ttl + answerTolerance))
 	_, err := io.WriteString(conn, text)
@@ -287,7 +291,8 @@
 	}
 }
 
-// readAnswer reads an answer. One of another op is a failure, and says so.
+// readAnswer reads the answer to op id, and returns its outcome and text. The answer of another op counts as a failure. An
+// error means that no complete answer could be read.
 func readAnswer(r *bufio.Reader, id string) (Outcome, string, error) {
 	first, err := r.ReadString('\n')
 	if err != nil {
--- a/internal/trial/many_test.go
+++ b/internal/trial/many_test.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// A plan may have 1,024 balancers, hosts and zones, a fault for each host, and faults that name all of them. It is read, checked
-// and printed; nothing is played.
+// A plan with 1,024 balancers, hosts and zones, and with faults that list all of them, is parsed, validated and printed.
 func TestPlanOfManyParts(t *testing.T) {
 	const n = 1024
 	var text strings.Builder
@@ -21,9 +20,9 @@
 	hosts := strings.Join(numberedNames("h", n), ", ")
 	fmt.Fprintf(&text, "- {at: 2s, for: 1s, what: slow, by: 2, of: [%s]}\n", hosts)
 	fmt.Fprintf(&text, "- {at: 2s, for: 1s, what: cut, from: [all], to: [%s, origin, discovery]}\n", hosts)
-	began := time.Now()
+	start := time.Now()
 	p, err := ParsePlan([]byte(text.String()))
-	t.Logf("%d bytes read in %v", text.Len(), time.Since(began).Round(time.Millisecond))
+	t.Logf("%d bytes read in %v", text.Len(), time.Since(start).Round(time.Millisecond))
 	if err != nil {
 		t.Fatalf("%.400s", err)
 	}
@@ -46,7 +45,7 @@
 	}
 }
 
-// Each balancer has addresses of its own, for as many as a plan may have: what hosts see tells balancers apart.
+// All balancers of the largest plan have distinct loopback addresses, so that hosts can tell them apart.
 func TestAddressesOfManyBalancers(t *testing.T) {
 	for _, pid := range []int{0, 1, 255, 1023, 1 << 22} {
 		a := addressSpace{pid}
@@ -54,7 +53,7 @@
 		for i := range maxBalancers {
 			for _, ip := range []string{a.listenIP(i), a.linksIP(i), a.sourceIP(i)} {
 				if parsed := net.ParseIP(ip); parsed == nil || !parsed.IsLoopback() || seen[ip] {
-					t.Fatalf("balancer %d of process %d: %s is no address, or another's", i, pid, ip)
+					t.Fatalf("balancer %d of process %d: %s is invalid or already in use", i, pid, ip)
 				}
 				seen[ip] = true
 			}
@@ -62,7 +61,7 @@
 	}
 }
 
-// A link of the last balancer that a plan may have is reached at its address, and comes from its balancer's source.
+// The link of the highest balancer number accepts connections at its address, and connects from its balancer's source address.
 func TestLinkOfLastBalancer(t *testing.T) {
 	a := processAddresses()
 	part, err := net.Listen("tcp", a.hostsIP()+":0")
@@ -88,11 +87,11 @@
 	}
 	defer far.Close()
 	if from, _, _ := net.SplitHostPort(far.RemoteAddr().String()); from != a.sourceIP(last) {
-		t.Errorf("it comes from %s, want %s", from, a.sourceIP(last))
+		t.Errorf("connected from %s, want %s", from, a.sourceIP(last))
 	}
 }
 
-// A fleet that can't be is refused before its faults are looked at: they would be checked against its parts.
+// An invalid fleet is refused before the faults are validated, which would build its list of parts.
 func TestPlanOfImpossibleFleet(t *testing.T) {
 	for _, fleet := range []string{"zones: 0", "zones: -1", "hosts: 2000000000", "balancers: 2000000000"} {
 		_, err := ParsePlan([]byte("fleet: {" + fleet + "}\nfaults: [{at: 1s, for: 1s, what: kill, of: [b1]}]"))
--- a/internal/trial/plan_test.go
+++ b/internal/trial/plan_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// What is wrong with a plan is named with its line.
+// Errors of invalid plans name the line and the field.
 func Example_invalidPlans() {
 	for _, text := range []string{
 		"",
@@ -36,22 +36,22 @@
 	// plan: line 1: fleet.balancers: 0, want 1 to 1280
 	// plan: line 1: fleet.hosts: 5000, want 1 to 4096
 	// plan: line 2: load.for: 0s, want above 0, at most 10m0s
-	// plan: line 2: an alias; write out what it stands for
+	// plan: line 2: aliases are not allowed; write out the value
 	// plan: line 1: field hots not found
 	// plan: line 1: "soon", want a time such as 1.5s or 200ms
-	// plan: line 1: load.shares: no category "reed"; there are read, put, once
+	// plan: line 1: load.shares: unknown category "reed", want one of read, put, once
 	// plan: line 3: kill: of: "b4" is none of b1, b2, b3
 	// plan: line 4: what: "explode", want one of ban, clock, cut, delay, die, disk, drain, errors, freeze, hang, hole, kill, late, rate, remove, resets, sever, silent, single, slow, table, term, upgrade, void, wipe
 	// plan: line 5: hang: for: missing
 	// plan: line 6: cut: to: "h9" is none of h1, h2, h3, h4, h5, h6, origin, discovery
-	// plan: line 6: cut: ends at 6s, after the load, which lasts 5s
-	// plan: line 7: slow: way: "up", want out, back or both, and that of links
+	// plan: line 6: cut: ends at 6s, after the load, which ends at 5s
+	// plan: line 7: slow: way: "up", want out, back or both, and only for links
 	// plan: line 7: slow: by: "0.5", want a factor above 1, at most 1000
 	// plan: line 8: cut: to: missing
-	// plan: line 8: cut: applies to links, which from and to name
+	// plan: line 8: cut: applies to links, given in from and to
 }
 
-// What a plan leaves out is as usual; zones and all stand for their parts.
+// Omitted fields have their defaults, and zones and "all" are resolved to their parts.
 func Example_planDefaults() {
 	p, err := ParsePlan([]byte(`
 name: two at one instant
@@ -62,8 +62,8 @@
 - {at: 1s, what: void, of: [all]}
 `))
 	fmt.Println(err)
-	for _, m := range p.events() {
-		fmt.Println(m.end, m.fault)
+	for _, event := range p.events() {
+		fmt.Println(event.end, event.fault)
 	}
 	of, to, err := p.Faults[0].targets(p.Fleet)
 	fmt.Println(of, to, err)
@@ -77,7 +77,7 @@
 	// [b1 b3] [h2 h4 h6 discovery] <nil>
 }
 
-// A drawn plan's text reads as the plan that it was, and its faults are injected in the same order; each has two faults at once.
+// The text of a random plan must parse to the same plan with the same order of events, and its faults must overlap.
 func TestRandomPlansRoundTrip(t *testing.T) {
 	for seed := range uint64(300) {
 		p := RandomPlan(seed)
@@ -92,7 +92,7 @@
 			t.Fatalf("seed %d: printed and read\n%s\nis\n%s", seed, p, again)
 		}
 		if !reflect.DeepEqual(p.events(), again.events()) || !reflect.DeepEqual(p, RandomPlan(seed)) {
-			t.Fatalf("seed %d: another order", seed)
+			t.Fatalf("seed %d: the order of events differs", seed)
 		}
 		half := p.Load.Duration / 2
 		for _, x := range p.Faults {
@@ -118,7 +118,7 @@
 	})
 }
 
-// A plan that fails whenever b2 is killed while h3 hangs shrinks to these two faults, on the least fleet that has both parts.
+// A plan that fails whenever b2 is killed and h3 hangs must shrink to these two faults on the smallest fleet with both parts.
 func TestShrink(t *testing.T) {
 	p := DefaultPlan()
 	for _, x := range []Fault{
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -16,47 +16,47 @@
 	"time"
 )
 
-// processState of a process.
+// processState is the state of a process.
 type processState int
 
 const (
-	absent   processState = iota // not started, or ended
-	starting                     // started, does not answer yet
-	serving                      // has answered
-	frozen                       // stopped by SIGSTOP
-	ending                       // told to end
+	absent   processState = iota // not started, or exited
+	starting                     // started, not serving yet
+	serving
+	frozen // stopped by SIGSTOP
+	ending // signaled to end, not exited yet
 )
 
-func (c processState) String() string {
-	return [...]string{"absent", "starting", "serving", "frozen", "ending"}[c]
+func (s processState) String() string {
+	return [...]string{"absent", "starting", "serving", "frozen", "ending"}[s]
 }
 
 const (
-	maxLogLines     = 2000                  // of a process that are kept
-	startTimeout    = 10 * time.Second      // until a process answers
-	probeInterval   = 10 * time.Millisecond // between two looks whether it does
-	faultSocketName = "faults"              // socket in its directory, of a program built with the tag
-	termTimeout     = 4 * time.Second       // from SIGTERM to SIGKILL
+	maxLogLines     = 2000             // kept per process
+	startTimeout    = 10 * time.Second // until a process serves
+	probeInterval   = 10 * time.Millisecond
+	faultSocketName = "faults"        // socket in the process's directory, of programs built with -tags faults
+	termTimeout     = 4 * time.Second // between SIGTERM and SIGKILL
 )
 
-// LogLine is a line of a process's log.
+// LogLine is a line of a process's log and the time at which it was read.
 type LogLine struct {
 	At   time.Duration
 	Text string
 }
 
-// Span is a while.
+// Span is a time span, since the fleet was started.
 type Span struct {
-	From, To time.Duration // To is 0 while it lasts
+	From, To time.Duration // To is 0 while the span lasts
 }
 
-// Outage is a while in which a process did not serve.
+// Outage is a span in which a process did not serve.
 type Outage struct {
 	Span
-	Frozen bool // it stood still, and went on; else it ended
+	Frozen bool // the process was frozen and resumed; otherwise it exited
 }
 
-// Process is a real process of the program. Its directory is its disk and holds its start file.
+// Process runs the program in a directory of its own, which holds its start file and all files that it writes.
 type Process struct {
 	Name      string
 	Dir       string
@@ -64,51 +64,51 @@
 	launcher  *launcher
 	config    string
 	env       []string
-	isServing func() bool // tells whether it serves
+	isServing func() bool // reports whether the process serves
 
 	mu           sync.Mutex
 	state        processState
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when cmd has ended
+	exited       chan struct{} // closed when cmd has exited
 	lines        []LogLine
 	outages      []Outage
-	clockOffset  string // by how much its clock is off when it starts
-	crashMessage string // its last word, where it ended by itself
+	clockOffset  string // of the wall clock of processes started from now on
+	crashMessage string // last log line of a process that exited on its own
 }
 
-// launcher starts processes. Each dies with the trial's process, however that ends: the kernel kills a child when the
-// thread that started it ends, so one thread starts them all and lives as long as the cluster.
+// launcher starts processes that the kernel kills if this process dies. Pdeathsig acts when the thread that started the
+// child ends, so a single locked thread starts them all and lives until close.
 type launcher struct {
 	jobs chan func()
 	done chan struct{}
 }
 
 func newLauncher() *launcher {
-	s := &launcher{jobs: make(chan func()), done: make(chan struct{})}
+	l := &launcher{jobs: make(chan func()), done: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread()
 		for {
 			select {
-			case call := <-s.jobs:
+			case call := <-l.jobs:
 				call()
-			case <-s.done:
-				return // locked still: the thread ends with it
+			case <-l.done:
+				return // returning while locked ends the thread
 			}
 		}
 	}()
-	return s
+	return l
 }
 
-func (s *launcher) start(c *exec.Cmd) error {
+func (l *launcher) start(c *exec.Cmd) error {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
-	s.jobs <- func() { failed <- c.Start() }
+	l.jobs <- func() { failed <- c.Start() }
 	return <-failed
 }
 
-func (s *launcher) close() { close(s.done) }
+func (l *launcher) close() { close(l.done) }
 
-// setState is the one place where a process changes its condition.
+// setState changes the state and records outages. All state changes go through it; the caller holds p.mu.
 func (p *Process) setState(to processState) {
 	now := max(p.now(), 1)
 	was := p.state
@@ -123,40 +123,41 @@
 	}
 }
 
-// State is what the process is in.
+// State returns the name of the current state.
 func (p *Process) State() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.String()
 }
 
-// Outages are the spans in which the process did not serve, since it first did.
+// Outages returns the spans in which the process did not serve, after it first served.
 func (p *Process) Outages() []Outage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Outage(nil), p.outages...)
 }
 
-// Crash is the last word of a process that ended without being told to, empty where none did.
+// Crash returns the last log line of a process that exited on its own, or an empty string.
 func (p *Process) Crash() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.crashMessage
 }
 
-// Log is what the process has written, the last lines of it.
+// Log returns the last lines that the process has written.
 func (p *Process) Log() []LogLine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]LogLine(nil), p.lines...)
 }
 
-// Start starts the process by a program, and waits until it serves.
+// Start starts the program and waits until it serves. It returns an error if the process already runs, exits early, or does
+// not serve within startTimeout.
 func (p *Process) Start(program string, args ...string) error {
 	p.mu.Lock()
 	if p.state != absent {
 		defer p.mu.Unlock()
-		return fmt.Errorf("%s: is %v already", p.Name, p.state)
+		return fmt.Errorf("%s: already %v", p.Name, p.state)
 	}
 	exited, err := p.spawn(program, args)
 	if err == nil {
@@ -169,12 +170,13 @@
 	return p.awaitServing(exited)
 }
 
-// replace starts a process beside the one that serves, and tells that one to end once the new one says that it serves.
+// replace starts a second process after prepare, waits until it serves, and ends the old one with SIGTERM. If the old one does
+// not exit within termTimeout it is killed, and an error is returned.
 func (p *Process) replace(prepare func() error, program string, args ...string) error {
 	p.mu.Lock()
 	if p.state != serving {
 		defer p.mu.Unlock()
-		return fmt.Errorf("%s: is %v, no process to replace", p.Name, p.state)
+		return fmt.Errorf("%s: is %v, want serving", p.Name, p.state)
 	}
 	old, oldExited := p.cmd, p.exited
 	err := prepare()
@@ -195,11 +197,11 @@
 		return nil
 	case <-time.After(termTimeout):
 		old.Process.Kill()
-		return fmt.Errorf("%s: the old process went on %v after SIGTERM, killed", p.Name, termTimeout)
+		return fmt.Errorf("%s: the old process did not exit within %v after SIGTERM, killed", p.Name, termTimeout)
 	}
 }
 
-// spawn starts a process, which is the one from then on.
+// spawn starts a process and makes it the current one. The caller holds p.mu.
 func (p *Process) spawn(program string, args []string) (exited chan struct{}, err error) {
 	c := exec.Command(program, args...)
 	c.Env = append(append(os.Environ(), p.env...), "RELAY_CONFIG="+p.config, "TMPDIR="+p.Dir,
@@ -233,7 +235,7 @@
 			return
 		}
 		if p.state != ending {
-			p.crashMessage = "it said nothing"
+			p.crashMessage = "no output"
 			if n := len(p.lines); n > 0 {
 				p.crashMessage = p.lines[n-1].Text
 			}
@@ -243,7 +245,8 @@
 	return exited, nil
 }
 
-// sendFault tells a program that was built for it what to spoil (package machine). A clock counts for what is started later, too.
+// sendFault sends a line to the fault channel of a program built with -tags faults (package machine). A clock offset also
+// applies to processes started later.
 func (p *Process) sendFault(line string) error {
 	if offset, isClock := strings.CutPrefix(line, "clock "); isClock {
 		p.mu.Lock()
@@ -252,7 +255,7 @@
 	}
 	c, err := net.Dial("unix", filepath.Join(p.Dir, faultSocketName))
 	if err != nil {
-		return fmt.Errorf("%s: %q: no faults in this program, or it does not run (build it with -tags faults): %w", p.Name, line, err)
+		return fmt.Errorf("%s: %q: the process is not running, or its program was built without -tags faults: %w", p.Name, line, err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(adminTimeout))
@@ -264,12 +267,12 @@
 	return nil
 }
 
-// awaitServing waits until the process serves.
+// awaitServing waits until the process serves, and returns an error if it exits first or startTimeout passes.
 func (p *Process) awaitServing(exited <-chan struct{}) error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); {
 		select {
 		case <-exited:
-			return fmt.Errorf("%s: ended amid its start: %s", p.Name, p.lastLine())
+			return fmt.Errorf("%s: exited during its start: %s", p.Name, p.lastLine())
 		case <-time.After(probeInterval):
 		}
 		if p.isServing() {
@@ -281,19 +284,19 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: does not serve %v after its start: %s", p.Name, startTimeout, p.lastLine())
+	return fmt.Errorf("%s: not serving %v after its start: %s", p.Name, startTimeout, p.lastLine())
 }
 
 func (p *Process) lastLine() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.lines) == 0 {
-		return "it said nothing"
+		return "no output"
 	}
 	return p.lines[len(p.lines)-1].Text
 }
 
-// readLog takes the log as it comes.
+// readLog reads the process's output until it ends, and keeps the last lines.
 func (p *Process) readLog(r io.ReadCloser) {
 	defer r.Close()
 	s := bufio.NewScanner(r)
@@ -308,7 +311,7 @@
 	}
 }
 
-// signal sends a signal to the process, if it is in one of the conditions, and moves it on.
+// signal sends a signal and changes the state, if the current state is one of in; otherwise it returns an error.
 func (p *Process) signal(s syscall.Signal, to processState, in ...processState) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -324,13 +327,13 @@
 	return fmt.Errorf("%s: is %v", p.Name, p.state)
 }
 
-// Freeze stops the process where it stands.
+// Freeze stops the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP, frozen, serving) }
 
-// Thaw lets it go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT, serving, frozen) }
 
-// Kill ends the process at once, and waits for that.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL, ending, starting, serving, frozen, ending); err != nil {
 		return err
@@ -339,7 +342,8 @@
 	return nil
 }
 
-// Terminate tells the process to end. One that does not within some seconds is killed, which is told as an error.
+// Terminate sends SIGTERM and waits until the process has exited. After termTimeout it kills the process and returns an
+// error.
 func (p *Process) Terminate() error {
 	if err := p.signal(syscall.SIGTERM, ending, starting, serving); err != nil {
 		return err
@@ -352,11 +356,11 @@
 		return nil
 	case <-time.After(termTimeout):
 		p.Kill()
-		return fmt.Errorf("%s: went on %v after SIGTERM, killed", p.Name, termTimeout)
+		return fmt.Errorf("%s: did not exit within %v after SIGTERM, killed", p.Name, termTimeout)
 	}
 }
 
-// Wait waits until the process has ended.
+// Wait waits until the process has exited.
 func (p *Process) Wait() {
 	p.mu.Lock()
 	exited := p.exited
@@ -366,12 +370,12 @@
 	}
 }
 
-// ClearDir clears the disk of a process that is absent, but for its start file.
+// ClearDir removes everything but the start file from the directory of a process, which must be absent.
 func (p *Process) ClearDir() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state != absent {
-		return fmt.Errorf("%s: is %v, its disk is in use", p.Name, p.state)
+		return fmt.Errorf("%s: is %v, its directory is in use", p.Name, p.state)
 	}
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
--- a/internal/trial/process_test.go
+++ b/internal/trial/process_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// newScriptProcess is a process that runs a shell text in place of the program.
+// newScriptProcess returns a process, and a function that starts it with a shell script in place of the program.
 func newScriptProcess(t *testing.T, isServing bool) (*Process, func(text string) error) {
-	began := time.Now()
-	p := &Process{Name: "b1", Dir: t.TempDir(), now: func() time.Duration { return time.Since(began) }, launcher: newLauncher(),
+	start := time.Now()
+	p := &Process{Name: "b1", Dir: t.TempDir(), now: func() time.Duration { return time.Since(start) }, launcher: newLauncher(),
 		isServing: func() bool { return isServing }}
 	p.config = filepath.Join(p.Dir, "start.json")
 	t.Cleanup(func() { p.Kill(); p.launcher.close() })
@@ -22,7 +22,7 @@
 func TestProcessExitsDuringStart(t *testing.T) {
 	p, start := newScriptProcess(t, false)
 	err := start("echo no room >&2; exit 3")
-	if err == nil || !strings.Contains(err.Error(), "b1: ended amid its start: no room") {
+	if err == nil || !strings.Contains(err.Error(), "b1: exited during its start: no room") {
 		t.Fatal(err)
 	}
 	if p.State() != "absent" || p.Crash() == "" {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A process is stopped, goes on, is killed, and starts again from an empty disk. What can't be done says why.
+// A process can be frozen, resumed, killed and restarted with an empty directory; operations not allowed in a state fail.
 func TestProcessStates(t *testing.T) {
 	p, start := newScriptProcess(t, true)
 	text := "touch kept; exec sleep 60"
@@ -66,8 +66,8 @@
 	}
 	want := `thaw: b1: is absent: absent
 start: <nil>: serving
-start: b1: is serving already: serving
-empty: b1: is serving, its disk is in use: serving
+start: b1: already serving: serving
+empty: b1: is serving, its directory is in use: serving
 freeze: <nil>: frozen
 term: b1: is frozen: frozen
 thaw: <nil>: serving
@@ -80,9 +80,9 @@
 		t.Errorf("got\n%swant\n%s", got.String(), want)
 	}
 	if _, err := os.Stat(filepath.Join(p.Dir, "kept")); err == nil {
-		t.Error("the disk was not emptied")
+		t.Error("the directory was not cleared")
 	}
-	if away := p.Outages(); len(away) != 2 || !away[0].Frozen || away[1].Frozen || away[1].To == 0 {
-		t.Errorf("away: %v", away)
+	if outages := p.Outages(); len(outages) != 2 || !outages[0].Frozen || outages[1].Frozen || outages[1].To == 0 {
+		t.Errorf("outages: %v", outages)
 	}
 }
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -13,24 +13,24 @@
 	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
-// WriteTable writes a result for people.
+// WriteTable writes the result as text.
 func (r *Result) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "%s: %.1f%% of the ops acked within %v\n\n", r.Name, 100*r.InTimeShare(), targetLatency)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "category\tops\tin time\tacked\tnacked\tfailed\tcut\tsilent\tuntaken\tp50 ms\tp99\tp99.9\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "category\tops\tin time\tacked\tnacked\tfailed\tcut\tsilent\tuntaken\tp50 ms\tp99\tp99.9\t")
 	for _, g := range r.Categories {
-		fmt.Fprintf(t, "%s\t%d\t%d", g.Name, g.Ops, g.InTime)
+		fmt.Fprintf(table, "%s\t%d\t%d", g.Name, g.Ops, g.InTime)
 		for _, a := range []Outcome{Acked, Nacked, Failed, Disconnected, TimedOut, NotAccepted} {
-			fmt.Fprintf(t, "\t%d", g.Outcomes[a])
+			fmt.Fprintf(table, "\t%d", g.Outcomes[a])
 		}
-		fmt.Fprintf(t, "\t%.1f\t%.1f\t%.1f\t\n", g.P50, g.P99, g.P999)
+		fmt.Fprintf(table, "\t%.1f\t%.1f\t%.1f\t\n", g.P50, g.P99, g.P999)
 	}
-	t.Flush()
+	table.Flush()
 	fmt.Fprintf(w, "\npushes by host:")
 	for _, h := range r.sortedHosts() {
 		fmt.Fprintf(w, " %s %d", h, r.Pushes[h])
 	}
-	fmt.Fprintf(w, "\nthe load generator's own lateness, 99 in 100: %.1f ms\n", r.SendDelayP99)
+	fmt.Fprintf(w, "\ndelay of the load generator, p99: %.1f ms\n", r.SendDelayP99)
 	for _, text := range r.ClusterErrors {
 		fmt.Fprintf(w, "trial cluster: %s\n", text)
 	}
@@ -39,12 +39,12 @@
 		return
 	}
 	fmt.Fprintf(w, "\nrules broken: %s\n", strings.Join(r.BrokenRules(), ", "))
-	for _, b := range r.Violations {
-		fmt.Fprintf(w, "  %8.3fs  %-8s  %s\n", b.At.Seconds(), b.Rule, b.Text)
+	for _, v := range r.Violations {
+		fmt.Fprintf(w, "  %8.3fs  %-8s  %s\n", v.At.Seconds(), v.Rule, v.Text)
 	}
 }
 
-// sortedHosts are those that were pushed to, h2 before h10.
+// sortedHosts returns the hosts that received pushes, h2 before h10.
 func (r *Result) sortedHosts() (all []string) {
 	for h := range r.Pushes {
 		all = append(all, h)
@@ -58,7 +58,7 @@
 	return all
 }
 
-// series is a line of a plot, one value a second.
+// series is a line of a plot with one value per second.
 type series struct {
 	name   string
 	values func(s SecondResult) float64
@@ -71,15 +71,15 @@
 	shade = drawing.ColorFromHex("d0a060").WithAlpha(0x50)
 )
 
-// WriteHTML writes the report: one file with everything in it.
+// WriteHTML writes the result as a self-contained HTML page. It returns an error if a plot can't be drawn or w fails.
 func (r *Result) WriteHTML(w io.Writer) error {
-	service, err := r.plot("served in time, % of the ops of each second", 100,
+	service, err := r.plot("ops acked in time, % of each second", 100,
 		series{"in time", func(s SecondResult) float64 { return 100 * ratio(s.InTime, s.Ops) }, blue},
 		series{"nacked", func(s SecondResult) float64 { return 100 * ratio(s.Nacked, s.Ops) }, red})
 	if err != nil {
 		return err
 	}
-	latency, err := r.plot("latency of acked ops from when they were due, ms", 0,
+	latency, err := r.plot("latency of acked ops since their scheduled time, ms", 0,
 		series{"half", func(s SecondResult) float64 { return s.P50 }, blue},
 		series{"99 in 100", func(s SecondResult) float64 { return s.P99 }, red})
 	if err != nil {
@@ -89,9 +89,9 @@
 	if err != nil {
 		return err
 	}
-	var table bytes.Buffer
-	r.WriteTable(&table)
-	return reportTemplate.Execute(w, map[string]any{"Name": r.Name, "Table": table.String(), "Plan": r.Plan,
+	var text bytes.Buffer
+	r.WriteTable(&text)
+	return reportTemplate.Execute(w, map[string]any{"Name": r.Name, "Table": text.String(), "Plan": r.Plan,
 		"Injected": strings.Join(r.Injected, "\n"), "Plots": []template.HTML{service, latency, hosts}})
 }
 
@@ -102,34 +102,34 @@
 	return float64(n) / float64(of)
 }
 
-// plot draws a value a second, with the faults as shades behind it.
+// plot draws one value per second, with the faults as shaded areas behind it.
 func (r *Result) plot(title string, top float64, lines ...series) (template.HTML, error) {
 	c := newChart(title)
-	var drawn []chart.Series
+	var plotted []chart.Series
 	for _, l := range lines {
 		var at, values []float64
 		for i, s := range r.Seconds {
 			at, values = append(at, float64(i)+0.5), append(values, l.values(s))
 			top = max(top, l.values(s))
 		}
-		drawn = append(drawn, chart.ContinuousSeries{Name: l.name, XValues: at, YValues: values,
+		plotted = append(plotted, chart.ContinuousSeries{Name: l.name, XValues: at, YValues: values,
 			Style: chart.Style{StrokeColor: l.color, StrokeWidth: 2}})
 	}
 	top = max(top*1.05, 1)
-	for _, m := range r.FaultSpans {
-		to := max(m.To, m.From+0.05)
-		c.Series = append(c.Series, chart.ContinuousSeries{XValues: []float64{m.From, to}, YValues: []float64{top, top},
+	for _, span := range r.FaultSpans {
+		to := max(span.To, span.From+0.05)
+		c.Series = append(c.Series, chart.ContinuousSeries{XValues: []float64{span.From, to}, YValues: []float64{top, top},
 			Style: chart.Style{StrokeColor: shade, FillColor: shade}})
 	}
-	c.Series = append(c.Series, drawn...)
+	c.Series = append(c.Series, plotted...)
 	c.XAxis = chart.XAxis{Name: "s", Range: &chart.ContinuousRange{Min: 0, Max: float64(len(r.Seconds))}}
 	c.YAxis = chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: top}}
 	var legend []string
 	for _, l := range lines {
 		legend = append(legend, fmt.Sprintf(`<span style="color:#%02x%02x%02x">%s</span>`, l.color.R, l.color.G, l.color.B, l.name))
 	}
-	drawnHTML, err := svg(c.Render)
-	return drawnHTML + template.HTML("<br>"+strings.Join(legend, ", ")), err
+	plotHTML, err := svg(c.Render)
+	return plotHTML + template.HTML("<br>"+strings.Join(legend, ", ")), err
 }
 
 func newChart(title string) chart.Chart {
@@ -137,25 +137,25 @@
 		Background: chart.Style{Padding: chart.Box{Top: 40, Left: 10, Right: 10, Bottom: 10}}}
 }
 
-// hostBars draws how often each host was pushed to.
+// hostBars draws the number of pushes to each host, and returns nothing if there were none.
 func (r *Result) hostBars() (template.HTML, error) {
 	c := chart.BarChart{Title: "pushes by host", TitleStyle: chart.Style{FontSize: 11}, Width: plotWidth, Height: plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: 40, Left: 10, Right: 10, Bottom: 10}}}
-	most := 1.0
+	maxPushes := 1.0
 	for _, h := range r.sortedHosts() {
 		n := float64(r.Pushes[h])
-		most = max(most, n)
+		maxPushes = max(maxPushes, n)
 		c.Bars = append(c.Bars, chart.Value{Label: h, Value: n, Style: chart.Style{FillColor: blue, StrokeColor: blue}})
 	}
 	if len(c.Bars) == 0 {
 		return "", nil
 	}
 	c.BarWidth = min(40, plotWidth/2/len(c.Bars)+1)
-	c.YAxis = chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: most * 1.05}}
+	c.YAxis = chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: maxPushes * 1.05}}
 	return svg(c.Render)
 }
 
-const plotWidth, plotHeight = 900, 280 // of a plot, in pixels
+const plotWidth, plotHeight = 900, 280 // size of a plot in pixels
 
 func svg(render func(chart.RendererProvider, io.Writer) error) (template.HTML, error) {
 	var b bytes.Buffer
@@ -169,11 +169,11 @@
 <html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:14px sans-serif;margin:2em auto;max-width:62em}pre{background:#f4f4f4;padding:1em;overflow:auto}svg{max-width:100%;height:auto}</style>
 <h1>{{.Name}}</h1>
-<p>Shades are faults, in the order below. All hosts are simulated.</p>
+<p>Shaded areas are faults, in the order below. All hosts are simulated.</p>
 {{range .Plots}}<p>{{.}}</p>
 {{end}}
-<h2>What came of it</h2><pre>{{.Table}}</pre>
+<h2>Result</h2><pre>{{.Table}}</pre>
 <h2>Injected faults</h2><pre>{{.Injected}}</pre>
-<h2>The plan</h2><p>Save it as plan.yaml and play it again: <code>larchthread trial plan.yaml</code></p><pre>{{.Plan}}</pre>
+<h2>The plan</h2><p>To run it again, save it as plan.yaml: <code>larchthread trial plan.yaml</code></p><pre>{{.Plan}}</pre>
 </html>
 `))
--- a/internal/trial/shrink.go
+++ b/internal/trial/shrink.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	maxShrinkRuns = 60 // trials that a shrinking may take
-	triesPerPlan  = 2  // times that a smaller plan is played before it counts as well
+	maxShrinkRuns = 60 // in all
+	triesPerPlan  = 2  // a violation may not occur in every run
 )
 
-// Shrink looks for the least plan that still breaks one of the rules that a failing one does: with fewer faults in fewer
-// parts, a shorter load and a smaller fleet. Each smaller plan is played up to twice, for a break may need luck.
+// Shrink searches for a smaller plan that still violates one of the rules in broken: with fewer faults, fewer targets, a
+// shorter load and a smaller fleet. It runs each candidate up to triesPerPlan times and all together up to maxShrinkRuns
+// times. If play returns an error, Shrink returns it with the smallest plan so far.
 func Shrink(ctx context.Context, p Plan, broken []string, play func(context.Context, Plan) (*Result, error)) (Plan, error) {
 	runs := 0
 	fails := func(q Plan) (bool, error) {
@@ -52,7 +53,7 @@
 	return p, nil
 }
 
-// smallerPlans are the plans that are a step smaller, the largest steps first.
+// smallerPlans returns plans that are one step smaller, the largest steps first.
 func (p Plan) smallerPlans() (all []Plan) {
 	step := func(change func(q *Plan)) {
 		q := p
@@ -63,26 +64,26 @@
 	for i := range p.Faults {
 		step(func(q *Plan) { q.Faults = append(q.Faults[:i:i], q.Faults[i+1:]...) })
 	}
-	for i, x := range p.Faults {
-		for k := range x.Parts {
-			if len(x.Parts) > 1 {
-				step(func(q *Plan) { q.Faults[i].Parts = withoutIndex(x.Parts, k) })
+	for i, fault := range p.Faults {
+		for k := range fault.Parts {
+			if len(fault.Parts) > 1 {
+				step(func(q *Plan) { q.Faults[i].Parts = withoutIndex(fault.Parts, k) })
 			}
 		}
-		for k := range x.From {
-			if len(x.From) > 1 {
-				step(func(q *Plan) { q.Faults[i].From = withoutIndex(x.From, k) })
+		for k := range fault.From {
+			if len(fault.From) > 1 {
+				step(func(q *Plan) { q.Faults[i].From = withoutIndex(fault.From, k) })
 			}
 		}
-		for k := range x.To {
-			if len(x.To) > 1 {
-				step(func(q *Plan) { q.Faults[i].To = withoutIndex(x.To, k) })
+		for k := range fault.To {
+			if len(fault.To) > 1 {
+				step(func(q *Plan) { q.Faults[i].To = withoutIndex(fault.To, k) })
 			}
 		}
 	}
 	last := time.Duration(0)
-	for _, x := range p.Faults {
-		last = max(last, (x.At + x.Duration).d())
+	for _, fault := range p.Faults {
+		last = max(last, (fault.At + fault.Duration).d())
 	}
 	if short := max(last+200*time.Millisecond, time.Second); short < p.Load.Duration.d()*9/10 {
 		step(func(q *Plan) { q.Load.Duration = Duration(short) })
--- a/internal/trial/start.go
+++ b/internal/trial/start.go
@@ -25,7 +25,8 @@
 		return err
 	}
 	work := standin.Capacity{ServiceTime: f.WorkTime.d(), Slots: f.Slots, QueueLimit: 8 * f.Slots}
-	warming := standin.Warming{InitialShare: coldShare, Duration: warmupTime, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow}
+	warming := standin.Warming{InitialShare: coldShare, Duration: warmupTime,
+		OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow}
 	for i, id := range f.hosts() {
 		if _, err := c.fleet.AddHost(id, f.zone(i+1), c.addresses.hostsIP(), c.plan.Seed+uint64(i), work, warming); err != nil {
 			return err
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// startBalancer starts a balancer, with its links and its view of discovery.
+// startBalancer opens a balancer's links, serves its view of discovery and starts its process.
 func (c *Cluster) startBalancer(i int, name string) error {
 	source := net.ParseIP(c.addresses.sourceIP(i))
 	link := func(part string, target func() string) (*Link, error) {
@@ -84,7 +85,7 @@
 	return c.launch(i, func() error { return c.writeConfig(i, discovery.Address(), known) })
 }
 
-// launch starts a balancer's process, once its start file is written anew.
+// launch writes the start file of a balancer and starts its process.
 func (c *Cluster) launch(i int, writeConfig func() error) error {
 	if err := writeConfig(); err != nil {
 		return err
@@ -92,45 +93,46 @@
 	return c.processes[i].Start(c.Program, c.Args...)
 }
 
-// freeAddress is an address that nobody has, in a balancer's own part of loopback.
+// freeAddress returns an address with a free port on a balancer's listen IP.
 func (c *Cluster) freeAddress(i int) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(c.addresses.listenIP(i), "0"))
 	if err != nil {
-		return "", fmt.Errorf("no port free: %w", err)
+		return "", fmt.Errorf("no free port: %w", err)
 	}
 	defer l.Close()
 	return l.Addr().String(), nil
 }
 
-// writeConfig writes a balancer's start file, with an operators' address of its own.
+// writeConfig writes a balancer's start file, with a new admin address.
 func (c *Cluster) writeConfig(i int, discovery string, known json.RawMessage) error {
 	admin := c.listens[i]
-	for admin == c.listens[i] { // nobody listens there yet at a start
+	for admin == c.listens[i] { // at the first start the listen port is still free
 		var err error
 		if admin, err = c.freeAddress(i); err != nil {
 			return err
 		}
 	}
 	f := c.plan.Fleet
-	us := func(d time.Duration) int64 { return d.Microseconds() }
+	microseconds := func(d time.Duration) int64 { return d.Microseconds() }
 	var rows []map[string]any
 	for _, name := range []string{"read", "put", "once"} {
-		row := map[string]any{"name": name, "benefit": 1, "targetLatencyUs": us(targetLatency), "ttlUs": us(ttl), "repeat": repeatModes[name],
-			"tardyBenefit": 0.5}
+		row := map[string]any{"name": name, "benefit": 1, "targetLatencyUs": microseconds(targetLatency), "ttlUs": microseconds(ttl),
+			"repeat": repeatModes[name], "tardyBenefit": 0.5}
 		if repeatModes[name] == "dedup" {
-			row["dedupWindowUs"] = us(dedupWindow)
+			row["dedupWindowUs"] = microseconds(dedupWindow)
 		}
 		rows = append(rows, row)
 	}
-	text, err := json.Marshal(map[string]any{"name": c.processes[i].Name, "listen": c.listens[i], "admin": admin, "discovery": discovery,
-		"seed": fmt.Sprintf("%x", c.plan.Seed+uint64(i)), "known": known,
+	text, err := json.Marshal(map[string]any{"name": c.processes[i].Name, "listen": c.listens[i],
+		"admin": admin, "discovery": discovery, "seed": fmt.Sprintf("%x", c.plan.Seed+uint64(i)), "known": known,
 		"limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
 		"settings": map[string]any{"categories": rows, "groupSize": f.Balancers, "quantumUs": 1000, "discovery": "on_request",
 			"benefitBy": "request", "models": []string{standin.KindHost, standin.KindOrigin}, "zone": f.zone(i + 1),
 			"zones": zoneNames(f), "specifics": map[string]any{"mode": "aside", "originKind": 1},
-			"guarantees": map[string]any{"coldShare": coldShare, "coldUs": us(warmupTime), "tipMultiple": overloadMultiple, "fallUs": us(overloadWindow)},
-			"limits": map[string]any{"mostPushes": 3, "cancelling": true, "connIdleUs": us(time.Minute), "connectTimeoutUs": 50000,
-				"retryAfter": true, "maxRetryAfterUs": 400000}}})
+			"guarantees": map[string]any{"coldShare": coldShare, "coldUs": microseconds(warmupTime),
+				"tipMultiple": overloadMultiple, "fallUs": microseconds(overloadWindow)},
+			"limits": map[string]any{"mostPushes": 3, "cancelling": true, "connIdleUs": microseconds(time.Minute),
+				"connectTimeoutUs": 50000, "retryAfter": true, "maxRetryAfterUs": 400000}}})
 	if err != nil {
 		return err
 	}
@@ -147,7 +149,7 @@
 	return all
 }
 
-// rewriteConfig writes a start file anew for a balancer that is restarted: the list as it is now, and a new operators' address.
+// rewriteConfig writes the start file of a restarted balancer, with the current member list and a new admin address.
 func (c *Cluster) rewriteConfig(i int) error {
 	name := c.processes[i].Name
 	known, err := c.fleet.Discovery.FullList(func(m standin.Member) string { return c.links[[2]string{name, m.ID}].Address() })
@@ -157,7 +159,7 @@
 	return c.writeConfig(i, c.links[[2]string{name, discoveryID}].Address(), known)
 }
 
-// isServing tells whether a balancer says that it serves.
+// isServing reports whether a balancer answers that it serves.
 func (c *Cluster) isServing(i int) bool {
 	c.mu.Lock()
 	admin := c.admins[i]
