--- a/internal/trial/address.go
+++ b/internal/trial/address.go
@@ -21,6 +21,7 @@
 // addressSpace is a cluster's own part of the loopback network, derived from the ID of the process that runs the cluster.
 type addressSpace struct{ pid int }
 
+// processAddresses returns the address space of the current process.
 func processAddresses() addressSpace { return addressSpace{os.Getpid()} }
 
 // hostsIP returns the address that all hosts share.
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -95,6 +95,7 @@
 	return table.String()
 }
 
+// String returns the name of the site as it appears in tables and error messages.
 func (s faultSite) String() string {
 	return [...]string{"balancers", "hosts", "hosts, origin", discoveryID, "links"}[s]
 }
--- a/internal/trial/inject.go
+++ b/internal/trial/inject.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// recordError records a failure of the cluster itself, if err is not nil.
 func (c *Cluster) recordError(err error) {
 	if err != nil {
 		c.mu.Lock()
@@ -129,6 +130,7 @@
 	return errors.Join(all...)
 }
 
+// injectProcessFault begins or ends a fault of one balancer.
 func (c *Cluster) injectProcessFault(fault Fault, name string, end bool) error {
 	i := partIndex(name)
 	p := c.processes[i]
@@ -161,6 +163,7 @@
 	return p.replace(func() error { return c.rewriteConfig(i) }, program, c.Args...)
 }
 
+// injectServerFault begins or ends a fault of one host or of the origin.
 func (c *Cluster) injectServerFault(fault Fault, name string, end bool) error {
 	var mode standin.FaultMode
 	if by, _ := fault.Magnitude.number(); !end { // plans are validated before they run
@@ -236,6 +239,7 @@
 	return nil
 }
 
+// endBan marks the open ban of a host at a balancer as ended, if there is one.
 func (c *Cluster) endBan(balancer, host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,6 +250,7 @@
 	}
 }
 
+// injectLinkFault begins or ends a fault of one link.
 func (c *Cluster) injectLinkFault(fault Fault, l *Link, end bool) {
 	switch fault.Kind {
 	case "cut":
--- a/internal/trial/link.go
+++ b/internal/trial/link.go
@@ -60,6 +60,7 @@
 	untilReset [2]int
 }
 
+// newLink opens a link; see OpenLink.
 func newLink(balancer, part, ip string, source net.IP, seed uint64, target func() string) (*Link, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -118,6 +119,7 @@
 	l.notifyChanged()
 }
 
+// notifyChanged wakes the goroutines that wait for a change. The caller holds l.mu.
 func (l *Link) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -134,11 +136,13 @@
 	l.notifyChanged()
 }
 
+// reset resets both connections of the pair.
 func (conn *proxiedConn) reset() {
 	standin.ResetConn(conn.near)
 	standin.ResetConn(conn.far)
 }
 
+// accept serves connections until the listener is closed.
 func (l *Link) accept() {
 	for {
 		near, err := l.listener.Accept()
--- a/internal/trial/link_test.go
+++ b/internal/trial/link_test.go
@@ -149,6 +149,7 @@
 	}
 }
 
+// A link limited to one connection refuses a second one.
 func TestSingleConnection(t *testing.T) {
 	l, dial := newTestLink(t, 10)
 	l.SetSingle(true)
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -75,6 +75,8 @@
 	lastCall int // index of the call that was last answered on it, or -1
 }
 
+// newLoadGenerator returns a generator of the load of plan p on balancers that listen on the given addresses. Times are those
+// of now.
 func newLoadGenerator(p Plan, listens []string, now func() time.Duration) *loadGenerator {
 	l := &loadGenerator{plan: p, addresses: listens, now: now, rng: rand.New(rand.NewPCG(p.Seed, 11)),
 		idle: make([][]*clientConn, len(listens)), sendDelays: newHistogram()}
@@ -203,6 +205,7 @@
 	l.storeCall(index, c)
 }
 
+// storeCall stores a finished call and keeps the extra answers counted for it so far.
 func (l *loadGenerator) storeCall(index int, c Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,6 +260,7 @@
 	}
 }
 
+// dial opens a new connection to a balancer.
 func dial(address string) (*clientConn, error) {
 	c, err := net.DialTimeout("tcp", address, connectTimeout)
 	if err != nil {
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -94,6 +94,7 @@
 // MarshalYAML implements yaml.Marshaler.
 func (f Duration) MarshalYAML() (any, error) { return time.Duration(f).String(), nil }
 
+// d returns f as a time.Duration.
 func (f Duration) d() time.Duration { return time.Duration(f) }
 
 // Magnitude is the strength of a fault, in the unit of its kind: a fraction, a factor, a count, a time or a word.
@@ -256,6 +257,7 @@
 func (f Fleet) hosts() []string     { return numberedNames("h", f.Hosts) }
 func (f Fleet) zone(n int) string   { return fmt.Sprintf("z%d", (n-1)%f.Zones+1) }
 
+// numberedNames returns n names: the prefix with numbers from 1.
 func numberedNames(prefix string, n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("%s%d", prefix, i+1))
--- a/internal/trial/plan_test.go
+++ b/internal/trial/plan_test.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// Any plan that parses must parse again from its printed text.
 func FuzzRead(f *testing.F) {
 	f.Add(RandomPlan(1).String())
 	f.Add("faults: [{what: kill}]")
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -27,6 +27,7 @@
 	ending // signaled to end, not exited yet
 )
 
+// String returns the name of the state.
 func (s processState) String() string {
 	return [...]string{"absent", "starting", "serving", "frozen", "ending"}[s]
 }
@@ -83,6 +84,7 @@
 	done chan struct{}
 }
 
+// newLauncher returns a launcher with a running thread.
 func newLauncher() *launcher {
 	l := &launcher{jobs: make(chan func()), done: make(chan struct{})}
 	go func() {
@@ -99,6 +101,7 @@
 	return l
 }
 
+// start starts a command on the thread of the launcher.
 func (l *launcher) start(c *exec.Cmd) error {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
@@ -106,6 +109,7 @@
 	return <-failed
 }
 
+// close ends the thread, and with it all processes that still run.
 func (l *launcher) close() { close(l.done) }
 
 // setState changes the state and records outages. All state changes go through it; the caller holds p.mu.
@@ -287,6 +291,7 @@
 	return fmt.Errorf("%s: not serving %v after its start: %s", p.Name, startTimeout, p.lastLine())
 }
 
+// lastLine returns the last log line.
 func (p *Process) lastLine() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/trial/process_test.go
+++ b/internal/trial/process_test.go
@@ -19,6 +19,7 @@
 	return p, func(text string) error { return p.Start("/bin/sh", "-c", text) }
 }
 
+// Start must fail with the last log line if the process exits early.
 func TestProcessExitsDuringStart(t *testing.T) {
 	p, start := newScriptProcess(t, false)
 	err := start("echo no room >&2; exit 3")
@@ -30,6 +31,7 @@
 	}
 }
 
+// A process that ignores SIGTERM must be killed, which is an error but not a crash.
 func TestProcessIgnoresSIGTERM(t *testing.T) {
 	p, start := newScriptProcess(t, true)
 	if err := start(`trap "" TERM; echo deaf; while :; do sleep 0.1; done`); err != nil {
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -95,6 +95,7 @@
 		"Injected": strings.Join(r.Injected, "\n"), "Plots": []template.HTML{service, latency, hosts}})
 }
 
+// ratio returns n/of, or 0 if of is 0.
 func ratio(n, of int) float64 {
 	if of == 0 {
 		return 0
@@ -132,6 +133,7 @@
 	return plotHTML + template.HTML("<br>"+strings.Join(legend, ", ")), err
 }
 
+// newChart returns an empty chart with a title, in the size of all plots.
 func newChart(title string) chart.Chart {
 	return chart.Chart{Title: title, TitleStyle: chart.Style{FontSize: 11}, Width: plotWidth, Height: plotHeight,
 		Background: chart.Style{Padding: chart.Box{Top: 40, Left: 10, Right: 10, Bottom: 10}}}
@@ -157,6 +159,7 @@
 
 const plotWidth, plotHeight = 900, 280 // size of a plot in pixels
 
+// svg renders a chart as inline SVG.
 func svg(render func(chart.RendererProvider, io.Writer) error) (template.HTML, error) {
 	var b bytes.Buffer
 	if err := render(chart.SVG, &b); err != nil {
--- a/internal/trial/shrink.go
+++ b/internal/trial/shrink.go
@@ -95,6 +95,7 @@
 	return all
 }
 
+// withoutIndex returns a copy of all without element i.
 func withoutIndex(all []string, i int) []string {
 	return append(append([]string(nil), all[:i]...), all[i+1:]...)
 }
--- a/internal/trial/start.go
+++ b/internal/trial/start.go
@@ -142,6 +142,7 @@
 	return os.WriteFile(c.processes[i].config, text, 0o600)
 }
 
+// zoneNames returns the names of all zones that have a part.
 func zoneNames(f Fleet) (all []string) {
 	for i := range min(f.Zones, max(f.Hosts, f.Balancers)) {
 		all = append(all, f.zone(i+1))
