--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -6,131 +6,146 @@
 	"strconv"
 )
 
-// What the arithmetic of control messages assumes.
+// Assumptions of the estimate. Sizes are in bytes, times in seconds.
 const (
-	purgeBytes   = 64.0   // of one purge: a key of 40 bytes, a version, lengths and a checksum
-	changeBytes  = 2048.0 // of one change of configuration
-	requestBytes = 120.0  // of a poll's request line and headers
-	answerBytes  = 150.0  // of the head of a poll's answer
-	frameBytes   = 24.0   // of the head of a batch: sender, first and last version, age, checksum
-	segmentHead  = 52.0   // TCP with time stamps, and IP, in each segment and each acknowledgement
-	segmentBody  = 1448.0 // bytes that a segment carries
-	oneWay       = 0.1    // seconds between regions
-	pollEvery    = 1.0    // seconds
-	batchEvery   = 0.25   // seconds between two batches
-	gossipEvery  = 0.25   // seconds between two rounds
-	gossipFanOut = 3.0    // peers told in each round
-	digestBytes  = 12.0   // of one item of a digest: a version and a hash
-	treeRelays   = 18.0   // and one publisher: the machines set aside for control
-	changeRate   = TargetConfigChangesPerDay / float64(secondsPerDay)
-	newsBytes    = TargetPurgeRate*purgeBytes + changeRate*changeBytes // a second
+	purgeBytes            = 64.0   // one purge: a key of 40 bytes, a version, lengths and a checksum
+	configChangeBytes     = 2048.0 // one configuration change
+	pollRequestBytes      = 120.0  // request line and headers of a poll
+	pollResponseHeadBytes = 150.0  // status line and headers of a poll's response
+	batchHeaderBytes      = 24.0   // batch header: sender, first and last version, age, checksum
+	segmentOverheadBytes  = 52.0   // TCP and IP headers, TCP time stamps included, of each segment and acknowledgement
+	segmentPayloadBytes   = 1448.0
+	oneWayLatency         = 0.1 // between regions
+	pollInterval          = 1.0
+	batchInterval         = 0.25 // between two batches
+	gossipInterval        = 0.25 // between two gossip rounds
+	gossipFanOut          = 3.0  // peers notified per round
+	digestEntryBytes      = 12.0 // one digest entry: a version and a hash
+	treeRelays            = 18.0 // with the publisher, these use all TargetControlMachines
+	configChangeRate      = TargetConfigChangesPerDay / float64(secondsPerDay)
+	updateBytesPerSecond  = TargetPurgeRate*purgeBytes + configChangeRate*configChangeBytes
 )
 
-// Strategy is one way to carry settings and purges to all balancers.
+// Strategy is the estimated cost of one way to distribute settings and purges to all balancers. Rates are per second and
+// cover both directions.
 type Strategy struct {
 	Name                   string  `json:"name"`
-	BalancerMessages       float64 `json:"balancer_messages"` // a second, both ways, acknowledgements left out
-	BalancerBytes          float64 `json:"balancer_bytes"`    // a second, both ways, all headers and acknowledgements counted
-	BusiestMachineMessages float64 `json:"busiest_messages"`  // a second, at the control machine that has most
+	BalancerMessages       float64 `json:"balancer_messages"` // acknowledgements excluded
+	BalancerBytes          float64 `json:"balancer_bytes"`    // headers and acknowledgements included
+	BusiestMachineMessages float64 `json:"busiest_messages"`  // at the most loaded control machine
 	BusiestMachineBytes    float64 `json:"busiest_bytes"`
-	PropagationSeconds     float64 `json:"seconds"` // until a purge is everywhere, without a fault
+	PropagationSeconds     float64 `json:"seconds"` // until a purge has reached every balancer, without failures
 }
 
-// fits tells whether a way keeps to what a balancer may spend and to the time a purge may take.
-func (w Strategy) fits() bool {
-	return w.BalancerBytes <= TargetControlBytes && w.PropagationSeconds <= TargetPurgeTime
+// meetsTargets reports whether the strategy stays within TargetControlBytes per balancer and TargetPurgeTime.
+func (s Strategy) meetsTargets() bool {
+	return s.BalancerBytes <= TargetControlBytes && s.PropagationSeconds <= TargetPurgeTime
 }
 
-// ControlResult compares the ways to carry settings and purges, by arithmetic alone.
+// ControlResult compares strategies for distributing settings and purges by calculation; nothing is measured.
 type ControlResult struct {
 	Strategies []Strategy `json:"ways"`
 }
 
-// CompareControl reckons what each way costs at so many balancers.
+// CompareControl estimates the cost of each strategy for a fleet with the given number of balancers.
 func CompareControl(balancers int) *ControlResult {
 	n := float64(balancers)
-	return &ControlResult{Strategies: []Strategy{poll(n), pushEach(n), pushBatches(n), tree(n), gossipWhole(n), gossipDigests(n)}}
+	return &ControlResult{Strategies: []Strategy{poll(n), pushIndividually(n), pushBatches(n), relayTree(n), gossipUpdates(n),
+		gossipDigests(n)}}
 }
 
-// wireBytes is what a message costs on the wire: its segments, and an acknowledgement for every second one, one at the least.
+// wireBytes returns the bytes that a message with the given body size takes on the wire: its segments, and one acknowledgement
+// for every two of them, rounded up.
 func wireBytes(body float64) float64 {
-	segments := math.Ceil(body / segmentBody)
-	return body + segmentHead*(segments+math.Ceil(segments/2))
+	segments := math.Ceil(body / segmentPayloadBytes)
+	return body + segmentOverheadBytes*(segments+math.Ceil(segments/2))
 }
 
-// poll has each balancer ask one of the control machines in turn, on a connection that is kept.
+// poll estimates a strategy in which each balancer polls one of the control machines over a persistent connection.
 func poll(n float64) Strategy {
-	asked := 1 / pollEvery
-	bytes := asked * (wireBytes(requestBytes) + wireBytes(answerBytes+newsBytes*pollEvery))
-	part := n / TargetControlMachines
-	return Strategy{"each balancer asks, once a second", 2 * asked, bytes, 2 * asked * part, bytes * part, pollEvery + 3*oneWay}
+	pollRate := 1 / pollInterval
+	bytes := pollRate * (wireBytes(pollRequestBytes) + wireBytes(pollResponseHeadBytes+updateBytesPerSecond*pollInterval))
+	balancersPerMachine := n / TargetControlMachines
+	return Strategy{"each balancer asks, once a second", 2 * pollRate, bytes, 2 * pollRate * balancersPerMachine,
+		bytes * balancersPerMachine, pollInterval + 3*oneWayLatency}
 }
 
-// pushEach sends each change in a message of its own; each machine has its part of the balancers.
-func pushEach(n float64) Strategy {
-	messages := TargetPurgeRate + changeRate
-	bytes := TargetPurgeRate*wireBytes(frameBytes+purgeBytes) + changeRate*wireBytes(frameBytes+changeBytes)
-	part := n/TargetControlMachines + TargetControlMachines - 1 // each hands what reaches it first to the others
-	return Strategy{"19 machines push, each change by itself", messages, bytes, messages * part, bytes * part, 2 * oneWay}
+// pushIndividually estimates a strategy in which the control machines share the balancers and push each change in its own
+// message.
+func pushIndividually(n float64) Strategy {
+	messages := TargetPurgeRate + configChangeRate
+	bytes := TargetPurgeRate*wireBytes(batchHeaderBytes+purgeBytes) + configChangeRate*wireBytes(batchHeaderBytes+configChangeBytes)
+	receivers := n/TargetControlMachines + TargetControlMachines - 1 // each machine also forwards its changes to the other machines
+	return Strategy{"19 machines push, each change by itself", messages, bytes, messages * receivers, bytes * receivers,
+		2 * oneWayLatency}
 }
 
-// batches is what one receiver of batches costs.
-func batches() (messages, bytes float64) {
-	messages = 1 / batchEvery
-	return messages, messages * wireBytes(frameBytes+newsBytes*batchEvery)
+// batchCost returns the messages and bytes per second that a receiver of batches costs.
+func batchCost() (messages, bytes float64) {
+	messages = 1 / batchInterval
+	return messages, messages * wireBytes(batchHeaderBytes+updateBytesPerSecond*batchInterval)
 }
 
+// pushBatches estimates a strategy in which the control machines share the balancers and push changes in batches.
 func pushBatches(n float64) Strategy {
-	messages, bytes := batches()
-	part := n/TargetControlMachines + TargetControlMachines - 1
-	return Strategy{"19 machines push, in batches of 250 ms", messages, bytes, messages * part, bytes * part, 2 * (batchEvery + oneWay)}
+	messages, bytes := batchCost()
+	receivers := n/TargetControlMachines + TargetControlMachines - 1
+	return Strategy{"19 machines push, in batches of 250 ms", messages, bytes, messages * receivers, bytes * receivers,
+		2 * (batchInterval + oneWayLatency)}
 }
 
-// tree has one publisher send batches to relays, and each relay to its part of the balancers.
-func tree(n float64) Strategy {
-	messages, bytes := batches()
-	children := math.Max(treeRelays, math.Ceil(n/treeRelays)+1) // and its own parent
+// relayTree estimates a strategy in which one publisher sends batches to relays, and each relay to its share of the balancers.
+func relayTree(n float64) Strategy {
+	messages, bytes := batchCost()
+	// The publisher serves all relays; a relay serves its share of the balancers and receives from the publisher.
+	children := math.Max(treeRelays, math.Ceil(n/treeRelays)+1)
 	return Strategy{"tree: 1 publisher, 18 relays, batches of 250 ms", messages, bytes, messages * children, bytes * children,
-		2 * (batchEvery + oneWay)}
+		2 * (batchInterval + oneWayLatency)}
 }
 
-// gossipRounds is how many rounds it takes until all are expected to know, where those who know tell others in each round.
+// gossipRounds returns the expected number of rounds until all n balancers are informed, when every informed balancer tells
+// gossipFanOut others in each round.
 func gossipRounds(n float64) float64 {
 	return math.Ceil(math.Log(n)/math.Log(1+gossipFanOut) + math.Log(n)/gossipFanOut)
 }
 
-// gossipWhole has each balancer pass each change on to three others once.
-func gossipWhole(n float64) Strategy {
-	peers := 2 * gossipFanOut // told, and heard from
-	messages := peers / gossipEvery
-	bytes := messages * wireBytes(frameBytes+newsBytes*gossipEvery)
-	return Strategy{"gossip to 3, changes as they are", messages, bytes, messages, bytes, gossipRounds(n) * (gossipEvery + oneWay)}
+// gossipUpdates estimates a strategy in which each balancer forwards each change once, to gossipFanOut others.
+func gossipUpdates(n float64) Strategy {
+	peers := 2 * gossipFanOut // peers sent to and received from
+	messages := peers / gossipInterval
+	bytes := messages * wireBytes(batchHeaderBytes+updateBytesPerSecond*gossipInterval)
+	return Strategy{"gossip to 3, changes as they are", messages, bytes, messages, bytes,
+		gossipRounds(n) * (gossipInterval + oneWayLatency)}
 }
 
-// gossipDigests has balancers tell others which versions they have; what is missing is asked for and sent once.
+// gossipDigests estimates a strategy in which balancers exchange digests of versions, and request only the changes they lack.
 func gossipDigests(n float64) Strategy {
 	peers := 2 * gossipFanOut
-	changes := TargetPurgeRate + changeRate
-	digests := peers / gossipEvery
-	bytes := digests*wireBytes(frameBytes+changes*gossipEvery*digestBytes) + 2*changes*wireBytes(frameBytes+digestBytes) +
-		2/gossipEvery*wireBytes(frameBytes+newsBytes*gossipEvery)
-	return Strategy{"gossip to 3, digests first", digests + 2*changes + 2/gossipEvery, bytes, digests + 2*changes, bytes,
-		gossipRounds(n) * (gossipEvery + 3*oneWay)}
+	updateRate := TargetPurgeRate + configChangeRate
+	digestRate := peers / gossipInterval
+	bytes := digestRate*wireBytes(batchHeaderBytes+updateRate*gossipInterval*digestEntryBytes) +
+		2*updateRate*wireBytes(batchHeaderBytes+digestEntryBytes) +
+		2/gossipInterval*wireBytes(batchHeaderBytes+updateBytesPerSecond*gossipInterval)
+	return Strategy{"gossip to 3, digests first", digestRate + 2*updateRate + 2/gossipInterval, bytes,
+		digestRate + 2*updateRate, bytes, gossipRounds(n) * (gossipInterval + 3*oneWayLatency)}
 }
 
 // Tables implements Result.
 func (r *ControlResult) Tables() []Table {
-	table := Table{Title: fmt.Sprintf("Ways to carry %v purges a second and %v changes a day to all balancers, reckoned", TargetPurgeRate, TargetConfigChangesPerDay),
-		Columns: []string{"way", "messages/s a balancer", "bytes/s a balancer", "of 3 KB/s", "messages/s, busiest machine", "KB/s, busiest machine",
-			"s to all", "fits"},
+	table := Table{
+		Title: fmt.Sprintf("Strategies to distribute %v purges/s and %v configuration changes/day, estimated",
+			TargetPurgeRate, TargetConfigChangesPerDay),
+		Columns: []string{"way", "messages/s a balancer", "bytes/s a balancer", "of 3 KB/s", "messages/s, busiest machine",
+			"KB/s, busiest machine", "s to all", "fits"},
 		Notes: []string{
-			fmt.Sprintf("A purge has %v bytes and a change %v; %v bytes of headers a segment and acknowledgement; %v ms between regions.",
-				purgeBytes, changeBytes, segmentHead, oneWay*1000),
-			"Fits: at most 3 KB a second at a balancer, and a purge everywhere within 2.2 s, both without faults or repeats."}}
-	for _, w := range r.Strategies {
-		table.Rows = append(table.Rows, []string{w.Name, fmt.Sprintf("%.1f", w.BalancerMessages), fmt.Sprintf("%.0f", w.BalancerBytes),
-			fmt.Sprintf("%.0f%%", 100*w.BalancerBytes/TargetControlBytes), fmt.Sprintf("%.0f", w.BusiestMachineMessages),
-			fmt.Sprintf("%.1f", w.BusiestMachineBytes/1000), fmt.Sprintf("%.2f", w.PropagationSeconds), strconv.FormatBool(w.fits())})
+			fmt.Sprintf("A purge has %v bytes, a change %v; headers per segment and acknowledgement: %v bytes; %v ms between regions.",
+				purgeBytes, configChangeBytes, segmentOverheadBytes, oneWayLatency*1000),
+			"Fits: at most 3 KB/s per balancer, and purges everywhere within 2.2 s, without failures or retransmissions."}}
+	for _, s := range r.Strategies {
+		table.Rows = append(table.Rows, []string{s.Name, fmt.Sprintf("%.1f", s.BalancerMessages), fmt.Sprintf("%.0f", s.BalancerBytes),
+			fmt.Sprintf("%.0f%%", 100*s.BalancerBytes/TargetControlBytes), fmt.Sprintf("%.0f", s.BusiestMachineMessages),
+			fmt.Sprintf("%.1f", s.BusiestMachineBytes/1000), fmt.Sprintf("%.2f", s.PropagationSeconds),
+			strconv.FormatBool(s.meetsTargets())})
 	}
 	return []Table{table}
 }
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -7,50 +7,53 @@
 	"time"
 )
 
-// Scenario is one simulation of decisions: so many balancers share the whole load of the hosts evenly.
+// Scenario describes one simulation of routing decisions: Balancers evenly share a load that is proportional to
+// Hosts. Times are in milliseconds of simulated time.
 type Scenario struct {
 	Name            string  `json:"name"`
 	Balancers       int     `json:"balancers"`
 	Hosts           int     `json:"hosts"`
-	PopularShare    float64 `json:"popular"`       // part of the requests that are for one key
-	SlowEvery       int     `json:"slow_every"`    // one host in so many is slow; none for 0
-	ColdHost        bool    `json:"cold_host"`     // one host starts anew as the measured time begins
-	OriginSlowdown  float64 `json:"origin_slower"` // factor by which the origin slows as the measured time begins
-	SingleBalancer  bool    `json:"alone"`         // each balancer is told that it is the only one
-	LoadReports     bool    `json:"reports"`       // hosts tell how busy they are
-	AllowDuplicates bool    `json:"duplicates"`    // second copies are allowed
-	MaxConnections  int     `json:"table"`         // connections that a host takes; all for 0
-	NoLearnedState  bool    `json:"started"`       // the balancers have just started, and have learned nothing
+	PopularShare    float64 `json:"popular"`       // share of the requests that read one popular key
+	SlowEvery       int     `json:"slow_every"`    // one host in this many is slow; 0 means none
+	ColdHost        bool    `json:"cold_host"`     // one host restarts as the measurement begins
+	OriginSlowdown  float64 `json:"origin_slower"` // factor by which the origin slows down as the measurement begins
+	SingleBalancer  bool    `json:"alone"`         // each balancer is configured with a group size of 1
+	LoadReports     bool    `json:"reports"`       // hosts report their load
+	AllowDuplicates bool    `json:"duplicates"`    // balancers may hedge an op with a second push in parallel
+	MaxConnections  int     `json:"table"`         // connection limit of a host; 0 means unlimited
+	NoLearnedState  bool    `json:"started"`       // balancers start without learned state
 	WarmUpMS        float64 `json:"warm_up_ms"`
 	MeasuredMS      float64 `json:"measured_ms"`
 }
 
-// DecisionsRow is what came of one scenario, in its measured time.
+// DecisionsRow holds the result of one scenario over its measured time. Ratios are relative to the mean of the hosts,
+// shares relative to the number of requests.
 type DecisionsRow struct {
 	Scenario            Scenario `json:"scenario"`
-	MeanInFlight        float64  `json:"in_flight"`          // mean of a host
-	MaxInFlightRatio    float64  `json:"greatest_in_flight"` // of the host that has most, against the mean
-	PeakInFlight        int      `json:"highest"`            // most at one host at one time
-	MaxRateRatio        float64  `json:"greatest_rate"`      // of the host that is sent most, against the mean
-	FirstHostRateRatio  float64  `json:"first_host_rate"`    // of the first host, which is the slow or the cold one, against the mean
+	MeanInFlight        float64  `json:"in_flight"`          // mean requests in flight per host
+	MaxInFlightRatio    float64  `json:"greatest_in_flight"` // of the host with the most requests in flight
+	PeakInFlight        int      `json:"highest"`            // highest number of requests in flight at one host
+	MaxRateRatio        float64  `json:"greatest_rate"`      // of the host with the highest push rate
+	FirstHostRateRatio  float64  `json:"first_host_rate"`    // of the first host, which is the slow or the cold one
 	OriginInFlight      float64  `json:"origin_in_flight"`
-	ServedShare         float64  `json:"served"` // part of the requests
+	ServedShare         float64  `json:"served"`
 	NackedShare         float64  `json:"nacked"`
-	PushesPerRequest    float64  `json:"pushes"` // for each request
+	PushesPerRequest    float64  `json:"pushes"`
 	RefusedPerRequest   float64  `json:"refused"`
 	MedianMS            float64  `json:"median_ms"`
 	P99MS               float64  `json:"p99_ms"`
-	ElapsedUSPerRequest float64  `json:"cost_us"` // elapsed time of the simulation for each request, all of it included
+	ElapsedUSPerRequest float64  `json:"cost_us"` // wall-clock time of the simulation per request, in microseconds
 }
 
-// DecisionsResult is what came of all scenarios.
+// DecisionsResult holds the results of all scenarios, in their order.
 type DecisionsResult struct {
 	Rows []DecisionsRow `json:"rows"`
 }
 
-// Scenarios are the ordinary ones for each number of balancers, and what is varied at the greatest number.
+// Scenarios returns the base scenarios for each number of balancers, and the variants for the last number only. balancers
+// must not be empty; warmUp and measured are in milliseconds.
 func Scenarios(balancers []int, hosts int, warmUp, measured float64) []Scenario {
-	kinds := []Scenario{
+	baseScenarios := []Scenario{
 		{Name: "even"},
 		{Name: "popular key 0.1%", PopularShare: 0.001},
 		{Name: "popular key 1%", PopularShare: 0.01},
@@ -70,37 +73,38 @@
 		{Name: "slow hosts, told alone", SlowEvery: 20, SingleBalancer: true},
 		{Name: "slow hosts, second copies, reports", SlowEvery: 20, AllowDuplicates: true, LoadReports: true},
 	}
-	var all []Scenario
-	for _, kind := range kinds {
+	var scenarios []Scenario
+	for _, base := range baseScenarios {
 		for _, n := range balancers {
-			all = append(all, kind.sized(n, hosts, warmUp, measured))
+			scenarios = append(scenarios, base.withSize(n, hosts, warmUp, measured))
 		}
 	}
 	for _, variant := range variants {
-		all = append(all, variant.sized(balancers[len(balancers)-1], hosts, warmUp, measured))
+		scenarios = append(scenarios, variant.withSize(balancers[len(balancers)-1], hosts, warmUp, measured))
 	}
-	return all
+	return scenarios
 }
 
-func (s Scenario) sized(balancers, hosts int, warmUp, measured float64) Scenario {
+// withSize returns a copy of the scenario with the given size and times.
+func (s Scenario) withSize(balancers, hosts int, warmUp, measured float64) Scenario {
 	s.Balancers, s.Hosts, s.WarmUpMS, s.MeasuredMS = balancers, hosts, warmUp, measured
 	return s
 }
 
-// MeasureDecisions plays scenarios, so many at once.
-func MeasureDecisions(scenarios []Scenario, atOnce int) (*DecisionsResult, error) {
+// MeasureDecisions runs the scenarios, at most maxConcurrent at a time, and returns an error if one cannot be set up.
+func MeasureDecisions(scenarios []Scenario, maxConcurrent int) (*DecisionsResult, error) {
 	result := &DecisionsResult{Rows: make([]DecisionsRow, len(scenarios))}
 	errs := make([]error, len(scenarios))
-	var all sync.WaitGroup
-	places := make(chan struct{}, atOnce)
-	for k, scenario := range scenarios {
-		places <- struct{}{}
-		all.Go(func() {
-			result.Rows[k], errs[k] = measureDecisions(scenario)
-			<-places
+	var pending sync.WaitGroup
+	semaphore := make(chan struct{}, maxConcurrent)
+	for i, scenario := range scenarios {
+		semaphore <- struct{}{}
+		pending.Go(func() {
+			result.Rows[i], errs[i] = runScenario(scenario)
+			<-semaphore
 		})
 	}
-	all.Wait()
+	pending.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -109,54 +113,57 @@
 	return result, nil
 }
 
-func measureDecisions(s Scenario) (DecisionsRow, error) {
-	x, err := newSimulation(s)
+// runScenario simulates one scenario and returns its result. It returns an error if the settings are invalid.
+func runScenario(s Scenario) (DecisionsRow, error) {
+	sim, err := newSimulation(s)
 	if err != nil {
 		return DecisionsRow{}, err
 	}
-	began := time.Now()
-	x.run()
-	return x.row(time.Since(began)), nil
+	startedAt := time.Now()
+	sim.run()
+	return sim.summarize(time.Since(startedAt)), nil
 }
 
-// row sums up the measured time.
-func (x *simulation) row(took time.Duration) DecisionsRow {
-	row := DecisionsRow{Scenario: x.scenario}
-	hosts := x.servers[:x.origin()]
-	load, came := 0.0, 0
+// summarize computes the result of the measured time; elapsed is the wall-clock time of the whole run.
+func (sim *simulation) summarize(elapsed time.Duration) DecisionsRow {
+	row := DecisionsRow{Scenario: sim.scenario}
+	hosts := sim.servers[:sim.originIndex()]
+	load, received := 0.0, 0
 	for _, s := range hosts {
-		load += s.load / float64(x.samples)
-		came += s.came
+		load += s.outstandingSum / float64(sim.samples)
+		received += s.received
 	}
 	row.MeanInFlight = load / float64(len(hosts))
-	meanRate := float64(came) / float64(len(hosts))
+	meanRate := float64(received) / float64(len(hosts))
 	for _, s := range hosts {
-		row.MaxInFlightRatio = max(row.MaxInFlightRatio, s.load/float64(x.samples)/row.MeanInFlight)
-		row.MaxRateRatio = max(row.MaxRateRatio, float64(s.came)/meanRate)
-		row.PeakInFlight = max(row.PeakInFlight, s.highest)
+		row.MaxInFlightRatio = max(row.MaxInFlightRatio, s.outstandingSum/float64(sim.samples)/row.MeanInFlight)
+		row.MaxRateRatio = max(row.MaxRateRatio, float64(s.received)/meanRate)
+		row.PeakInFlight = max(row.PeakInFlight, s.peakOutstanding)
 	}
-	row.FirstHostRateRatio = float64(hosts[0].came) / meanRate
-	row.OriginInFlight = x.servers[x.origin()].load / float64(x.samples)
-	arrived := float64(x.figures.arrived)
-	row.ServedShare = float64(x.figures.served) / arrived
-	row.NackedShare = float64(x.figures.nacked) / arrived
-	row.PushesPerRequest = float64(x.figures.pushes) / arrived
-	row.RefusedPerRequest = float64(x.figures.refused) / arrived
-	row.MedianMS = float64(x.latencies.ValueAtQuantile(50)) / 1000
-	row.P99MS = float64(x.latencies.ValueAtQuantile(99)) / 1000
-	row.ElapsedUSPerRequest = float64(took.Microseconds()) / arrived * x.scenario.MeasuredMS / (x.scenario.WarmUpMS + x.scenario.MeasuredMS)
+	row.FirstHostRateRatio = float64(hosts[0].received) / meanRate
+	row.OriginInFlight = sim.servers[sim.originIndex()].outstandingSum / float64(sim.samples)
+	arrived := float64(sim.counts.arrived)
+	row.ServedShare = float64(sim.counts.served) / arrived
+	row.NackedShare = float64(sim.counts.nacked) / arrived
+	row.PushesPerRequest = float64(sim.counts.pushes) / arrived
+	row.RefusedPerRequest = float64(sim.counts.refused) / arrived
+	row.MedianMS = float64(sim.latencies.ValueAtQuantile(50)) / 1000
+	row.P99MS = float64(sim.latencies.ValueAtQuantile(99)) / 1000
+	row.ElapsedUSPerRequest = float64(elapsed.Microseconds()) / arrived * sim.scenario.MeasuredMS /
+		(sim.scenario.WarmUpMS + sim.scenario.MeasuredMS)
 	return row
 }
 
 // Tables implements Result.
 func (r *DecisionsResult) Tables() []Table {
-	table := Table{Title: "Decisions: the same whole load over the same hosts, shared by so many balancers",
+	table := Table{Title: "Decisions: the same total load on the same hosts, shared by different numbers of balancers",
 		Columns: []string{"scenario", "balancers", "in flight a host", "greatest", "peak", "greatest rate", "first host's rate",
 			"origin in flight", "served", "nacked", "pushes", "refused", "p50 ms", "p99 ms", "µs an op"},
-		Notes: []string{"Greatest and rates are against the mean of the hosts; the first host is the slow or the cold one where there is one."}}
+		Notes: []string{"Greatest and rates are relative to the hosts' mean; the first host is the slow or the cold one, if any."}}
 	for _, row := range r.Rows {
-		table.Rows = append(table.Rows, []string{row.Scenario.Name, strconv.Itoa(row.Scenario.Balancers), fmt.Sprintf("%.0f", row.MeanInFlight),
-			fmt.Sprintf("%.2f", row.MaxInFlightRatio), strconv.Itoa(row.PeakInFlight), fmt.Sprintf("%.2f", row.MaxRateRatio),
+		table.Rows = append(table.Rows, []string{row.Scenario.Name, strconv.Itoa(row.Scenario.Balancers),
+			fmt.Sprintf("%.0f", row.MeanInFlight), fmt.Sprintf("%.2f", row.MaxInFlightRatio),
+			strconv.Itoa(row.PeakInFlight), fmt.Sprintf("%.2f", row.MaxRateRatio),
 			fmt.Sprintf("%.2f", row.FirstHostRateRatio), fmt.Sprintf("%.0f", row.OriginInFlight), fmt.Sprintf("%.4f", row.ServedShare),
 			fmt.Sprintf("%.4f", row.NackedShare), fmt.Sprintf("%.3f", row.PushesPerRequest), fmt.Sprintf("%.4f", row.RefusedPerRequest),
 			fmt.Sprintf("%.1f", row.MedianMS), fmt.Sprintf("%.1f", row.P99MS), fmt.Sprintf("%.1f", row.ElapsedUSPerRequest)})
--- a/internal/scale/decisions_test.go
+++ b/internal/scale/decisions_test.go
@@ -2,30 +2,31 @@
 
 import "testing"
 
-// TestDecisions plays a small fleet twice: both plays are the same, and all requests but a few that are still open have an
-// answer. Twice as many hosts, with twice the load, cost no more pushes a request.
+// TestDecisions checks that a scenario is deterministic, that almost all requests are served, and that pushes per request do
+// not grow with the number of hosts at the same load per host.
 func TestDecisions(t *testing.T) {
 	small := Scenario{Name: "small", WarmUpMS: 200, MeasuredMS: 500}
-	first := playScenario(t, small.sized(8, 10, small.WarmUpMS, small.MeasuredMS))
-	again := playScenario(t, small.sized(8, 10, small.WarmUpMS, small.MeasuredMS))
+	first := mustRunScenario(t, small.withSize(8, 10, small.WarmUpMS, small.MeasuredMS))
+	again := mustRunScenario(t, small.withSize(8, 10, small.WarmUpMS, small.MeasuredMS))
 	if first != again {
-		t.Errorf("two plays of one scenario:\n%+v\n%+v", first, again)
+		t.Errorf("two runs of one scenario differ:\n%+v\n%+v", first, again)
 	}
 	if first.ServedShare < 0.99 || first.NackedShare > 0.01 {
-		t.Errorf("served %.4f, nacked %.4f", first.ServedShare, first.NackedShare)
+		t.Errorf("served %.4f, want at least 0.99; nacked %.4f, want at most 0.01", first.ServedShare, first.NackedShare)
 	}
-	larger := playScenario(t, small.sized(8, 20, small.WarmUpMS, small.MeasuredMS))
-	if larger.PushesPerRequest > first.PushesPerRequest*slack {
-		t.Errorf("pushes a request: %.4f over 10 hosts, %.4f over 20", first.PushesPerRequest, larger.PushesPerRequest)
+	larger := mustRunScenario(t, small.withSize(8, 20, small.WarmUpMS, small.MeasuredMS))
+	if larger.PushesPerRequest > first.PushesPerRequest*maxGrowth {
+		t.Errorf("pushes per request: %.4f with 10 hosts, %.4f with 20", first.PushesPerRequest, larger.PushesPerRequest)
 	}
 }
 
-func playScenario(t *testing.T, s Scenario) DecisionsRow {
+// mustRunScenario returns a scenario's result without its wall-clock time.
+func mustRunScenario(t *testing.T, s Scenario) DecisionsRow {
 	t.Helper()
-	row, err := measureDecisions(s)
+	row, err := runScenario(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	row.ElapsedUSPerRequest = 0 // it is a time
+	row.ElapsedUSPerRequest = 0 // wall-clock time differs between runs
 	return row
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -16,10 +16,10 @@
 	Name      string  `json:"name"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	Residual  float64 `json:"residual"` // largest distance of a value from the line, as a part of the largest value
+	Residual  float64 `json:"residual"` // largest deviation of a value from the line, relative to the largest value
 }
 
-// FitLine fits a straight line to points of at least two different sizes.
+// FitLine fits a straight line to points, which must cover at least two different sizes.
 func FitLine(name string, points []Point) Line {
 	var sumSize, sumValue, sumSquare, sumProduct float64
 	for _, p := range points {
@@ -31,21 +31,21 @@
 	n := float64(len(points))
 	slope := (n*sumProduct - sumSize*sumValue) / (n*sumSquare - sumSize*sumSize)
 	line := Line{Name: name, Slope: slope, Intercept: (sumValue - slope*sumSize) / n}
-	largest, distance := 0.0, 0.0
+	largest, largestDistance := 0.0, 0.0
 	for _, p := range points {
 		largest = math.Max(largest, math.Abs(p.Value))
-		distance = math.Max(distance, math.Abs(p.Value-line.At(p.Size)))
+		largestDistance = math.Max(largestDistance, math.Abs(p.Value-line.At(p.Size)))
 	}
 	if largest > 0 {
-		line.Residual = distance / largest
+		line.Residual = largestDistance / largest
 	}
 	return line
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// String describes the line in one sentence.
+// String returns the line's equation and its residual in percent.
 func (l Line) String() string {
 	return fmt.Sprintf("%s: %.4g + %.4g x size, residual %.1f%%", l.Name, l.Intercept, l.Slope, 100*l.Residual)
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -14,70 +14,75 @@
 )
 
 const (
-	hollowSockets  = 256
-	hollowMemoryMB = 128
-	loggedList     = "list" // message of the line that the router logs for each list with members
-	loggedRevision = "revision"
+	hollowSocketLimit = 256
+	hollowMemoryMB    = 128
+	listLogMessage    = "list" // message that the router logs for each list with members
+	revisionLogKey    = "revision"
 )
 
-// hollow is a balancer without clients: the real loop, router, module and watch on discovery, in a goroutine of this process.
-// It does not listen.
-type hollow struct {
-	loop     *transport.Loop
-	lists    *listLog
-	stopping atomic.Bool
-	ended    chan error
+// hollowBalancer is a balancer that accepts no clients: it runs the real event loop, router, balancer module and host list
+// watch in a goroutine of this process.
+type hollowBalancer struct {
+	loop       *transport.Loop
+	logHandler *listLogHandler
+	stopping   atomic.Bool
+	done       chan error
 }
 
-// startHollow starts a hollow balancer that knows no host yet.
-func startHollow(name string, discovery netip.AddrPort, seed uint64, p params.Params) (*hollow, error) {
-	h := &hollow{lists: &listLog{}, ended: make(chan error, 1)}
-	log := slog.New(h.lists)
+// startHollowBalancer starts a hollow balancer with an empty host list. It returns an error if the event loop or the router
+// cannot be created.
+func startHollowBalancer(name string, discovery netip.AddrPort, seed uint64, p params.Params) (*hollowBalancer, error) {
+	h := &hollowBalancer{logHandler: &listLogHandler{}, done: make(chan error, 1)}
+	log := slog.New(h.logHandler)
 	var err error
-	if h.loop, err = transport.NewLoop(hollowSockets, hollowMemoryMB<<20, log); err != nil {
+	if h.loop, err = transport.NewLoop(hollowSocketLimit, hollowMemoryMB<<20, log); err != nil {
 		return nil, err
 	}
-	startFile := &params.StartFile{Name: name, Discovery: discovery, Seed: seed, MemoryMB: hollowMemoryMB, Sockets: hollowSockets, Params: p}
+	startFile := &params.StartFile{Name: name, Discovery: discovery, Seed: seed, MemoryMB: hollowMemoryMB,
+		Sockets: hollowSocketLimit, Params: p}
 	if _, err = routing.New(h.loop, log, startFile, false); err != nil {
 		h.loop.Close()
 		return nil, err
 	}
-	round := h.loop.OnRoundStart
+	onRoundStart := h.loop.OnRoundStart
 	h.loop.OnRoundStart = func(now float64) {
-		round(now)
+		onRoundStart(now)
 		if h.stopping.Load() {
 			h.loop.Quit()
 		}
 	}
-	go func() { h.ended <- h.loop.Run() }()
+	go func() { h.done <- h.loop.Run() }()
 	return h, nil
 }
 
-// stop ends the balancer and closes its sockets.
-func (h *hollow) stop() error {
+// stop stops the balancer, closes its sockets and returns the error with which its event loop ended.
+func (h *hollowBalancer) stop() error {
 	h.stopping.Store(true)
 	h.loop.Wake()
-	err := <-h.ended
+	err := <-h.done
 	h.loop.Close()
 	return err
 }
 
-// listLog is a log handler that notes which list a router has taken last, and when.
-type listLog struct {
-	revision atomic.Uint64
-	taken    atomic.Int64 // Unix ns
+// listLogHandler is a log handler that records the revision of the last list that a router has received, and the time.
+type listLogHandler struct {
+	revision   atomic.Uint64
+	receivedAt atomic.Int64 // Unix time in nanoseconds
 }
 
 // Enabled implements slog.Handler, as do the methods below.
-func (l *listLog) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
+func (l *listLogHandler) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= slog.LevelInfo
+}
 
-func (l *listLog) Handle(_ context.Context, r slog.Record) error {
-	if r.Message != loggedList {
+// Handle records list messages and ignores all others.
+func (l *listLogHandler) Handle(_ context.Context, r slog.Record) error {
+	if r.Message != listLogMessage {
 		return nil
 	}
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == loggedRevision {
-			l.taken.Store(time.Now().UnixNano())
+		if a.Key == revisionLogKey {
+			l.receivedAt.Store(time.Now().UnixNano())
 			l.revision.Store(a.Value.Uint64())
 		}
 		return true
@@ -85,26 +90,28 @@
 	return nil
 }
 
-func (l *listLog) WithAttrs([]slog.Attr) slog.Handler { return l }
-func (l *listLog) WithGroup(string) slog.Handler      { return l }
+func (l *listLogHandler) WithAttrs([]slog.Attr) slog.Handler { return l }
+func (l *listLogHandler) WithGroup(string) slog.Handler      { return l }
 
-// awaitRevision waits until all balancers have taken a list, and returns when the last of them had it.
-func awaitRevision(all []*hollow, revision uint64, limit time.Duration) (time.Time, error) {
-	var last int64
-	for end := time.Now().Add(limit); ; time.Sleep(5 * time.Millisecond) {
+// awaitRevision waits until all balancers have received the given list revision, and returns when the last of them received
+// its list. It returns an error if that takes longer than timeout.
+func awaitRevision(balancers []*hollowBalancer, revision uint64, timeout time.Duration) (time.Time, error) {
+	var lastReceivedAt int64
+	for deadline := time.Now().Add(timeout); ; time.Sleep(5 * time.Millisecond) {
 		missing := 0
-		last = 0
-		for _, h := range all {
-			last = max(last, h.lists.taken.Load())
-			if h.lists.revision.Load() < revision {
+		lastReceivedAt = 0
+		for _, h := range balancers {
+			lastReceivedAt = max(lastReceivedAt, h.logHandler.receivedAt.Load())
+			if h.logHandler.revision.Load() < revision {
 				missing++
 			}
 		}
 		switch {
 		case missing == 0:
-			return time.Unix(0, last), nil
-		case time.Now().After(end):
-			return time.Time{}, fmt.Errorf("%d of %d balancers have no list %d after %v", missing, len(all), revision, limit)
+			return time.Unix(0, lastReceivedAt), nil
+		case time.Now().After(deadline):
+			return time.Time{}, fmt.Errorf("%d of %d balancers have not received list revision %d after %v",
+				missing, len(balancers), revision, timeout)
 		}
 	}
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -6,71 +6,75 @@
 	"math/rand/v2"
 )
 
-// server is a cache host or the origin in a simulation of decisions: so many requests are at work at once, the others wait
-// in the order in which they came.
+// server simulates a cache host or the origin: a fixed number of slots serve requests at once, and further requests queue in
+// order of arrival. Times are in milliseconds.
 type server struct {
-	free    freeTimes // when each slot is free
-	takes   float64   // ms of one request; spread evenly over half to one and a half of it
-	patient float64   // ms that a request may wait for a slot; one that would wait longer is turned away
+	slots       slotHeap // when each slot is next free
+	serviceTime float64  // mean per request, evenly distributed from 0.5 to 1.5 times this value
+	maxWait     float64  // requests that would queue for longer are rejected
 
-	coldFrom float64 // ms, when a cold start began; never for infinity
+	coldSince float64 // start of the last cold start; infinite if there was none
 
-	outstanding int // requests that have come and are not done
+	outstanding int // requests queued or in service
 	connections int
 
-	came    int     // requests in the measured time
-	load    float64 // sum of the samples of outstanding
-	highest int     // greatest sample
+	received        int     // requests received during the measured time
+	outstandingSum  float64 // sum of all samples of outstanding
+	peakOutstanding int     // highest sample of outstanding
 }
 
-func newServer(slots int, takes, patient float64) *server {
-	return &server{free: make(freeTimes, slots), takes: takes, patient: patient, coldFrom: math.Inf(1)}
+// newServer returns an idle server with full capacity.
+func newServer(slots int, serviceTime, maxWait float64) *server {
+	return &server{slots: make(slotHeap, slots), serviceTime: serviceTime, maxWait: maxWait, coldSince: math.Inf(1)}
 }
 
-// serve takes a request, and tells when it is done; not taken, it is turned away.
-func (s *server) serve(now float64, random *rand.Rand) (done float64, taken bool) {
-	start := math.Max(now, s.free[0])
-	if start-now > s.patient {
+// serve queues a request and returns when it will be done. accepted is false if the request is rejected because its wait
+// would exceed maxWait.
+func (s *server) serve(now float64, rng *rand.Rand) (done float64, accepted bool) {
+	start := math.Max(now, s.slots[0])
+	if start-now > s.maxWait {
 		return 0, false
 	}
 	s.outstanding++
-	done = start + s.takes*(0.5+random.Float64())/s.warmth(now)
-	s.free[0] = done
-	heap.Fix(&s.free, 0)
+	done = start + s.serviceTime*(0.5+rng.Float64())/s.availableCapacity(now)
+	s.slots[0] = done
+	heap.Fix(&s.slots, 0)
 	return done, true
 }
 
-// warmth is the part of its capacity that the server has.
-func (s *server) warmth(now float64) float64 {
-	age := now - s.coldFrom
-	if age < 0 || age >= coldFor || math.IsInf(s.coldFrom, 1) {
+// availableCapacity returns the share of its full capacity that the server has at a time; it is below 1 after a cold start.
+func (s *server) availableCapacity(now float64) float64 {
+	age := now - s.coldSince
+	if age < 0 || age >= coldDurationMS || math.IsInf(s.coldSince, 1) {
 		return 1
 	}
-	return coldShare + (1-coldShare)*age/coldFor
+	return coldCapacity + (1-coldCapacity)*age/coldDurationMS
 }
 
-// busy is the part of the slots that are at work.
-func (s *server) busy() float64 { return math.Min(float64(s.outstanding)/float64(len(s.free)), 1) }
+// utilization returns the share of the slots that are in use.
+func (s *server) utilization() float64 {
+	return math.Min(float64(s.outstanding)/float64(len(s.slots)), 1)
+}
 
-// sample notes how many requests are outstanding.
+// sample records the number of outstanding requests.
 func (s *server) sample() {
-	s.load += float64(s.outstanding)
-	s.highest = max(s.highest, s.outstanding)
+	s.outstandingSum += float64(s.outstanding)
+	s.peakOutstanding = max(s.peakOutstanding, s.outstanding)
 }
 
-// forget begins the measured time.
-func (s *server) forget() { s.came, s.load, s.highest = 0, 0, 0 }
+// resetMeasurements clears the recorded values at the start of the measured time.
+func (s *server) resetMeasurements() { s.received, s.outstandingSum, s.peakOutstanding = 0, 0, 0 }
 
-// freeTimes implements heap.Interface.
-type freeTimes []float64
+// slotHeap is a min-heap of the times at which slots become free; it implements heap.Interface.
+type slotHeap []float64
 
-func (f freeTimes) Len() int           { return len(f) }
-func (f freeTimes) Less(i, j int) bool { return f[i] < f[j] }
-func (f freeTimes) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *freeTimes) Push(x any)        { *f = append(*f, x.(float64)) }
-func (f *freeTimes) Pop() any {
-	last := len(*f) - 1
-	x := (*f)[last]
-	*f = (*f)[:last]
+func (h slotHeap) Len() int           { return len(h) }
+func (h slotHeap) Less(i, j int) bool { return h[i] < h[j] }
+func (h slotHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *slotHeap) Push(x any)        { *h = append(*h, x.(float64)) }
+func (h *slotHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
 	return x
 }
--- a/internal/scale/instance.go
+++ b/internal/scale/instance.go
@@ -5,65 +5,72 @@
 	"larchthread/internal/timerqueue"
 )
 
-// instance is one balancer in a simulation of decisions: the real module, with the simulation as its port.
-type instance struct {
-	timerqueue.Timer // its timer
+// balancerInstance is one balancer of a simulation: the real balancer module, with the simulation as its port.
+type balancerInstance struct {
+	timerqueue.Timer // the timer that the balancer module sets
 	simulation       *simulation
 	balancer         *balance.Balancer
-	hosts            []*balance.Host // by their place among the simulation's servers
-	idle             []uint8         // connections to each that carry nothing, where tables of connections are simulated
+	hosts            []*balance.Host // indexed like simulation.servers
+	idleConnections  []uint8         // idle connections to each server; nil if connections are unlimited
 }
 
-// request is an op as its client sees it.
+// request is the state of an op from its client's view.
 type request struct {
-	arrived float64 // ms
-	ended   bool    // the client has its answer, or a nack
+	arrivedAt float64 // simulated time in milliseconds
+	completed bool    // the client has received a response or a nack
 }
 
-// attempt is a push on its way. Its timer is the time of its outcome.
+// attempt is a push in flight. Its timer fires when the push ends for the balancer, and, if the server is still working on it
+// then, again when the server is done. Times are in milliseconds.
 type attempt struct {
 	timerqueue.Timer
-	instance *instance
-	server   *server
-	place    int // of the server among all
-	push     *balance.Push
-	outcome  balance.Outcome
-	sent     float64
-	done     float64 // ms, when the server is done with it
-	working  bool    // the server is at work on it
-	over     bool    // the balancer has its outcome
+	instance     *balancerInstance
+	server       *server
+	serverIndex  int // index in simulation.servers
+	push         *balance.Push
+	outcome      balance.Outcome
+	sentAt       float64
+	serverDoneAt float64 // when the server is done with the request
+	atServer     bool    // the request is queued or in service at the server
+	reported     bool    // the balancer has been told the outcome
 }
 
 // Push implements balance.Port, as do the methods below.
-func (i *instance) Push(p *balance.Push, limit float64) { i.simulation.send(i, p, limit) }
+func (i *balancerInstance) Push(p *balance.Push, limit float64) { i.simulation.sendPush(i, p, limit) }
 
-// Cancel calls a push off; its server goes on with it all the same.
-func (i *instance) Cancel(p *balance.Push) {
+// Cancel cancels a push for the balancer. The server completes it all the same.
+func (i *balancerInstance) Cancel(p *balance.Push) {
 	a := p.Ref.(*attempt)
-	if !a.over {
+	if !a.reported {
 		a.outcome = balance.Cancelled
 		i.simulation.attempts.Set(a, i.simulation.now)
 	}
 }
 
-func (i *instance) Nack(op *balance.Op, _ float64) {
-	op.Ref.(*request).ended = true
-	i.simulation.figures.nacked++
+// Nack counts the nack and completes the request.
+func (i *balancerInstance) Nack(op *balance.Op, _ float64) {
+	op.Ref.(*request).completed = true
+	i.simulation.counts.nacked++
 }
 
-func (i *instance) DeadLetter(op *balance.Op) {
-	op.Ref.(*request).ended = true
-	i.simulation.figures.deadLettered++
+// DeadLetter counts the dead letter and completes the request.
+func (i *balancerInstance) DeadLetter(op *balance.Op) {
+	op.Ref.(*request).completed = true
+	i.simulation.counts.deadLettered++
 }
 
-func (i *instance) SetTimer(after float64) { i.simulation.timers.Set(i, i.simulation.now+after) }
+// SetTimer sets the balancer's timer to fire after the given milliseconds.
+func (i *balancerInstance) SetTimer(after float64) {
+	i.simulation.timers.Set(i, i.simulation.now+after)
+}
 
-func (i *instance) SubscribeHostList() {}
+// SubscribeHostList does nothing: the simulation lists the hosts by itself.
+func (i *balancerInstance) SubscribeHostList() {}
 
-// CloseIdleConns closes the idle connections to a host.
-func (i *instance) CloseIdleConns(h *balance.Host) {
-	if place, known := h.Ref.(int); known && i.idle != nil {
-		i.simulation.servers[place].connections -= int(i.idle[place])
-		i.idle[place] = 0
+// CloseIdleConns closes the balancer's idle connections to a host.
+func (i *balancerInstance) CloseIdleConns(h *balance.Host) {
+	if index, known := h.Ref.(int); known && i.idleConnections != nil {
+		i.simulation.servers[index].connections -= int(i.idleConnections[index])
+		i.idleConnections[index] = 0
 	}
 }
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	wholeRepeats  = 20  // whole lists read for one mean
-	changeRepeats = 400 // changes read for one mean
-	heapReaders   = 8   // list readers held for one mean of the heap
+	fullListRepeats = 20  // full lists read per measurement
+	changeRepeats   = 400 // changes applied per measurement
+	heapReaders     = 8   // readers held in memory per heap measurement
 )
 
-// ListRow is the cost of the host list at one size.
+// ListRow is the cost of a host list of one length.
 type ListRow struct {
 	Hosts       int     `json:"hosts"`
-	WholeMS     float64 `json:"whole_ms"`  // processor time of reading a whole list
-	ChangeMS    float64 `json:"change_ms"` // processor time of taking one change
+	WholeMS     float64 `json:"whole_ms"`  // processor time to read and apply a full list
+	ChangeMS    float64 `json:"change_ms"` // processor time to read and apply one change
 	HeapBytes   float64 `json:"heap_bytes"`
 	WholeBytes  int     `json:"whole_bytes"`
 	ChangeBytes int     `json:"change_bytes"`
 }
 
-// ListResult is the cost of the host list by its length.
+// ListResult is the cost of host lists by their length.
 type ListResult struct {
 	Rows  []ListRow `json:"rows"`
 	Lines []Line    `json:"lines"`
 }
 
-// MeasureList reads lists of each length with the real reader, and hands them to the real balancer module.
+// MeasureList measures, for each list length in hosts, the cost of parsing discovery's responses and applying them to the
+// balancer module.
 func MeasureList(hosts []int) (*ListResult, error) {
 	result := &ListResult{}
 	for _, n := range hosts {
@@ -48,6 +49,7 @@
 	return result, nil
 }
 
+// fit fits a line over the number of hosts to each measured value.
 func (r *ListResult) fit() {
 	for _, measure := range []struct {
 		name  string
@@ -68,7 +70,7 @@
 
 // Tables implements Result.
 func (r *ListResult) Tables() []Table {
-	table := Table{Title: "One balancer's host list: processor time, heap and bytes by the number of hosts",
+	table := Table{Title: "Host list of one balancer: processor time, heap and bytes by the number of hosts",
 		Columns: []string{"hosts", "whole list, ms", "one change, ms", "heap, KB", "whole list, bytes", "one change, bytes"}}
 	for _, row := range r.Rows {
 		table.Rows = append(table.Rows, []string{strconv.Itoa(row.Hosts), fmt.Sprintf("%.2f", row.WholeMS),
@@ -81,156 +83,160 @@
 	return []Table{table}
 }
 
+// measureList measures the costs of a list of one length.
 func measureList(hosts int) (ListRow, error) {
-	whole, err := listAnswer(wholeList(hosts))
+	response, err := listResponse(fullList(hosts))
 	if err != nil {
 		return ListRow{}, err
 	}
-	row := ListRow{Hosts: hosts, WholeBytes: len(whole)}
-	if row.WholeMS, err = wholeCost(whole); err != nil {
+	row := ListRow{Hosts: hosts, WholeBytes: len(response)}
+	if row.WholeMS, err = measureFullList(response); err != nil {
 		return row, err
 	}
-	if row.HeapBytes, err = listHeap(whole); err != nil {
+	if row.HeapBytes, err = measureListHeap(response); err != nil {
 		return row, err
 	}
-	row.ChangeMS, row.ChangeBytes, err = changeCost(whole, hosts)
+	row.ChangeMS, row.ChangeBytes, err = measureChange(response, hosts)
 	return row, err
 }
 
-// wholeList is a complete list of so many hosts.
-func wholeList(hosts int) *protocol.HostList {
+// fullList returns a complete list of the given number of hosts.
+func fullList(hosts int) *protocol.HostList {
 	list := &protocol.HostList{Revision: 1, Complete: true}
 	for host := range hosts {
-		list.Members = append(list.Members, listed(host, protocol.InService))
+		list.Members = append(list.Members, hostMember(host, protocol.InService))
 	}
 	return list
 }
 
-// listAnswer is a list as discovery's answer brings it.
-func listAnswer(list *protocol.HostList) ([]byte, error) {
+// listResponse encodes a list as an HTTP response of discovery.
+func listResponse(list *protocol.HostList) ([]byte, error) {
 	body, err := json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("encode host list: %w", err)
 	}
-	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n",
+	header := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n",
 		http.StatusOK, http.StatusText(http.StatusOK), len(body))
-	return append([]byte(head), body...), nil
+	return append([]byte(header), body...), nil
 }
 
-// wholeCost is the processor time of one whole list in a balancer that has none, in ms.
-func wholeCost(answer []byte) (float64, error) {
+// measureFullList returns the mean processor time, in milliseconds, of reading a full list into an empty balancer.
+func measureFullList(response []byte) (float64, error) {
 	var readers []*listReader
-	for range wholeRepeats {
+	for range fullListRepeats {
 		reader, err := newListReader()
 		if err != nil {
 			return 0, err
 		}
 		readers = append(readers, reader)
 	}
-	before, err := processorTime()
+	before, err := cpuTime()
 	if err != nil {
 		return 0, err
 	}
 	for _, reader := range readers {
-		if err := reader.read(answer); err != nil {
+		if err := reader.apply(response); err != nil {
 			return 0, err
 		}
 	}
-	after, err := processorTime()
-	return milliseconds(after-before) / wholeRepeats, err
+	after, err := cpuTime()
+	return milliseconds(after-before) / fullListRepeats, err
 }
 
-// listHeap is the heap that a balancer with a list holds, in bytes.
-func listHeap(answer []byte) (float64, error) {
-	before := liveHeap()
+// measureListHeap returns the mean heap size, in bytes, of a balancer that has read a full list.
+func measureListHeap(response []byte) (float64, error) {
+	before := liveHeapBytes()
 	var readers []*listReader
 	for range heapReaders {
 		reader, err := newListReader()
 		if err != nil {
 			return 0, err
 		}
-		if err := reader.read(answer); err != nil {
+		if err := reader.apply(response); err != nil {
 			return 0, err
 		}
 		readers = append(readers, reader)
 	}
-	after := liveHeap()
+	after := liveHeapBytes()
 	runtime.KeepAlive(readers)
 	return (float64(after) - float64(before)) / heapReaders, nil
 }
 
-// changeCost is the processor time of one change, in ms, and its bytes: hosts leave service and come back in turn.
-func changeCost(whole []byte, hosts int) (cost float64, bytes int, err error) {
+// measureChange returns the mean processor time of applying one change, in milliseconds, and the size of the first change in
+// bytes. The changes take one host after the other out of service and back.
+func measureChange(fullResponse []byte, hosts int) (cost float64, bytes int, err error) {
 	reader, err := newListReader()
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := reader.read(whole); err != nil {
+	if err := reader.apply(fullResponse); err != nil {
 		return 0, 0, err
 	}
-	var answers [][]byte
+	var responses [][]byte
 	for i := range changeRepeats {
 		phase := protocol.Terminating
 		if i%2 == 1 {
 			phase = protocol.InService
 		}
-		list := &protocol.HostList{Revision: uint64(i + 2), Members: []protocol.Member{listed(i/2%hosts, phase)}}
-		answer, err := listAnswer(list)
+		change := &protocol.HostList{Revision: uint64(i + 2), Members: []protocol.Member{hostMember(i/2%hosts, phase)}}
+		response, err := listResponse(change)
 		if err != nil {
 			return 0, 0, err
 		}
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	before, err := processorTime()
+	before, err := cpuTime()
 	if err != nil {
 		return 0, 0, err
 	}
-	for _, answer := range answers {
-		if err := reader.read(answer); err != nil {
+	for _, response := range responses {
+		if err := reader.apply(response); err != nil {
 			return 0, 0, err
 		}
 	}
-	after, err := processorTime()
-	return milliseconds(after-before) / changeRepeats, len(answers[0]), err
+	after, err := cpuTime()
+	return milliseconds(after-before) / changeRepeats, len(responses[0]), err
 }
 
-// listReader is the part of a balancer that takes lists: the reader of discovery's answers and the module.
+// listReader is the part of a balancer that handles host lists: the parser of discovery's responses and the balancer module.
 type listReader struct {
 	balancer *balance.Balancer
 	hosts    map[string]*balance.Host
 	pool     *transport.Pool
-	lists    *protocol.ListReader
+	parser   *protocol.ListReader
 	zones    map[string]int
 }
 
+// newListReader returns a reader with an empty host list.
 func newListReader() (*listReader, error) {
-	form := settings(TargetBalancers, false)
-	parameters, err := parameters(form)
+	settings := balancerSettings(TargetBalancers, false)
+	parameters, err := parseSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	start, _, _ := parameters.ForBalancer(1)
-	reader := &listReader{hosts: map[string]*balance.Host{}, pool: &transport.Pool{}, lists: protocol.NewListReader(),
+	config, _, _ := parameters.ForBalancer(1)
+	reader := &listReader{hosts: map[string]*balance.Host{}, pool: &transport.Pool{}, parser: protocol.NewListReader(),
 		zones: map[string]int{}}
-	for i, zone := range form.Zones {
+	for i, zone := range settings.Zones {
 		reader.zones[zone] = i
 	}
-	reader.balancer = balance.New(start, silentPort{}, 0)
+	reader.balancer = balance.New(config, noopPort{}, 0)
 	return reader, nil
 }
 
-// read takes an answer of discovery from its bytes to the module.
-func (r *listReader) read(answer []byte) error {
+// apply parses a response of discovery and passes its list to the balancer module. It returns an error if the response does
+// not hold a valid list.
+func (r *listReader) apply(response []byte) error {
 	chain := r.pool.NewChain()
-	if _, err := chain.Write(answer); err != nil {
+	if _, err := chain.Write(response); err != nil {
 		return err
 	}
-	list, _, err := r.lists.Next(&chain)
+	list, _, err := r.parser.Next(&chain)
 	if err != nil {
 		return err
 	}
 	if list == nil || len(list.MemberErrors) > 0 {
-		return fmt.Errorf("list: not read whole")
+		return fmt.Errorf("discovery response does not hold a complete and valid list")
 	}
 	entries := make([]balance.HostEntry, 0, len(list.Members))
 	for _, member := range list.Members {
@@ -240,22 +246,23 @@
 			r.hosts[member.ID] = host
 		}
 		entries = append(entries, balance.HostEntry{Host: host, Listing: balance.Listing{Zone: r.zones[member.Locality],
-			Size: member.Size, UpSince: member.UpSince, Status: statuses[member.Phase]}})
+			Size: member.Size, UpSince: member.UpSince, Status: statusByPhase[member.Phase]}})
 	}
 	r.balancer.HostsListed(entries, list.Complete, false)
 	return nil
 }
 
-var statuses = map[protocol.Phase]balance.Status{protocol.InService: balance.Ready, protocol.Terminating: balance.Draining,
+// statusByPhase maps discovery's phases to the balancer module's statuses.
+var statusByPhase = map[protocol.Phase]balance.Status{protocol.InService: balance.Ready, protocol.Terminating: balance.Draining,
 	protocol.Terminated: balance.Gone}
 
-// silentPort is the port of a balancer that has no requests.
-type silentPort struct{}
+// noopPort is the port of a balancer that receives no requests.
+type noopPort struct{}
 
-func (silentPort) Push(*balance.Push, float64)  {}
-func (silentPort) Cancel(*balance.Push)         {}
-func (silentPort) Nack(*balance.Op, float64)    {}
-func (silentPort) DeadLetter(*balance.Op)       {}
-func (silentPort) SetTimer(float64)             {}
-func (silentPort) SubscribeHostList()           {}
-func (silentPort) CloseIdleConns(*balance.Host) {}
+func (noopPort) Push(*balance.Push, float64)  {}
+func (noopPort) Cancel(*balance.Push)         {}
+func (noopPort) Nack(*balance.Op, float64)    {}
+func (noopPort) DeadLetter(*balance.Op)       {}
+func (noopPort) SetTimer(float64)             {}
+func (noopPort) SubscribeHostList()           {}
+func (noopPort) CloseIdleConns(*balance.Host) {}
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -6,50 +6,49 @@
 )
 
 const (
-	slack      = 1.02 // by how much a value per size may grow: numbers have a digit more here and there
-	changeMost = 400  // bytes of one change, whatever the list's length
+	maxGrowth      = 1.02 // allowed growth of a value per size; longer decimal numbers add a little
+	maxChangeBytes = 400  // limit for one change, independent of the list's length
 )
 
-// TestListGrowth checks that a whole list grows by no more than one line a host, and that a change has one size whatever
-// the length of the list.
+// TestListGrowth guards against a full list that grows faster than linearly, and against changes that grow with the list.
 func TestListGrowth(t *testing.T) {
-	var whole []Point
+	var listSizes []Point
 	for _, hosts := range []int{50, 200, 600, 1024} {
 		row, err := measureList(hosts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole = append(whole, Point{float64(hosts), float64(row.WholeBytes)})
-		if row.ChangeBytes > changeMost {
-			t.Errorf("%d hosts: a change has %d bytes, at most %d", hosts, row.ChangeBytes, changeMost)
+		listSizes = append(listSizes, Point{float64(hosts), float64(row.WholeBytes)})
+		if row.ChangeBytes > maxChangeBytes {
+			t.Errorf("%d hosts: a change has %d bytes, want at most %d", hosts, row.ChangeBytes, maxChangeBytes)
 		}
 	}
-	if growth := worstGrowth(whole); growth > slack {
-		t.Errorf("bytes a host grow by %.3f from %v", growth, whole)
+	if growth := largestGrowth(listSizes); growth > maxGrowth {
+		t.Errorf("bytes per host grow by a factor of %.3f: %v", growth, listSizes)
 	}
 }
 
-// TestFitLine checks the fit on a line, and the residual of a value that is off it.
+// TestFitLine checks the fit of collinear points, and the residual and the growth of points on a parabola.
 func TestFitLine(t *testing.T) {
 	line := FitLine("a line", []Point{{1, 5}, {2, 7}, {4, 11}})
 	if math.Abs(line.Intercept-3) > 1e-9 || math.Abs(line.Slope-2) > 1e-9 || line.Residual > 1e-9 {
-		t.Errorf("3 + 2x is fitted as %v", line)
+		t.Errorf("points on 3 + 2x are fitted as %v", line)
 	}
-	if bent := FitLine("bent", []Point{{1, 1}, {2, 4}, {3, 9}}); bent.Residual < 0.03 {
-		t.Errorf("a bent curve has a residual of %v", bent.Residual)
+	if parabola := FitLine("bent", []Point{{1, 1}, {2, 4}, {3, 9}}); parabola.Residual < 0.03 {
+		t.Errorf("residual of a parabola is %v, want at least 0.03", parabola.Residual)
 	}
-	if growth := worstGrowth([]Point{{1, 1}, {2, 4}, {3, 9}}); growth != 3 {
-		t.Errorf("squares grow by %v, want 3", growth)
+	if growth := largestGrowth([]Point{{1, 1}, {2, 4}, {3, 9}}); growth != 3 {
+		t.Errorf("growth of a parabola is %v, want 3", growth)
 	}
 }
 
-// worstGrowth is by how much the value per size grows at the most from the smallest size to any larger one; up to 1 the
-// growth is linear or slower.
-func worstGrowth(points []Point) float64 {
+// largestGrowth returns the largest ratio between the value per size of any later point and that of the first. A ratio of at
+// most 1 means linear growth or less.
+func largestGrowth(points []Point) float64 {
 	first := points[0].Value / points[0].Size
-	worst := 0.0
+	largest := 0.0
 	for _, p := range points[1:] {
-		worst = math.Max(worst, p.Value/p.Size/first)
+		largest = math.Max(largest, p.Value/p.Size/first)
 	}
-	return worst
+	return largest
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -14,54 +14,57 @@
 	"larchthread/internal/standin"
 )
 
-const startLimit = 10 * time.Second
+const startTimeout = 10 * time.Second
 
-// startForm is the form of a balancer's start file, as far as the measurements set it.
-type startForm struct {
+// startFileJSON holds the fields of a balancer's start file that the measurements set.
+type startFileJSON struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
-	Limits    processLimits   `json:"limits"`
+	Limits    limitsFileJSON  `json:"limits"`
 	Known     json.RawMessage `json:"known,omitempty"`
-	Settings  settingsForm    `json:"settings"`
+	Settings  settingsJSON    `json:"settings"`
 }
 
-type processLimits struct {
+// limitsFileJSON holds the limits of a start file.
+type limitsFileJSON struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// process is a real balancer, in a process of its own.
-type process struct {
+// balancerProcess is a balancer that runs in its own process.
+type balancerProcess struct {
 	command *exec.Cmd
 	listen  string
 	dir     string
 }
 
-// startProcess starts the program with a start file, and returns once it takes connections.
-func startProcess(program string, env []string, form startForm) (*process, error) {
+// startProcess writes a start file, starts the program with it and waits until the program accepts connections. It returns
+// an error if that takes longer than startTimeout.
+func startProcess(program string, env []string, startFile startFileJSON) (*balancerProcess, error) {
 	dir, err := os.MkdirTemp("", "larchthread-scale-")
 	if err != nil {
 		return nil, err
 	}
-	p := &process{dir: dir}
-	if err := p.start(program, env, form); err != nil {
+	p := &balancerProcess{dir: dir}
+	if err := p.start(program, env, startFile); err != nil {
 		os.RemoveAll(dir)
 		return nil, err
 	}
-	return p, p.reach()
+	return p, p.waitUntilReachable()
 }
 
-func (p *process) start(program string, env []string, form startForm) error {
+// start writes the start file to the process's directory and starts the program, which logs to a file there.
+func (p *balancerProcess) start(program string, env []string, startFile startFileJSON) error {
 	listen, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
 	p.listen = listen.String()
-	form.Listen = p.listen
-	text, err := json.Marshal(form)
+	startFile.Listen = p.listen
+	text, err := json.Marshal(startFile)
 	if err != nil {
 		return err
 	}
@@ -80,31 +83,33 @@
 	return p.command.Start()
 }
 
-// reach waits until the process takes connections.
-func (p *process) reach() error {
-	for end := time.Now().Add(startLimit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// waitUntilReachable waits until the process accepts connections. After startTimeout it stops the process and returns an
+// error.
+func (p *balancerProcess) waitUntilReachable() error {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if c, err := net.Dial("tcp", p.listen); err == nil {
 			c.Close()
 			return nil
 		}
 	}
 	p.stop()
-	return fmt.Errorf("the balancer does not listen on %s after %v", p.listen, startLimit)
+	return fmt.Errorf("balancer does not accept connections on %s after %v", p.listen, startTimeout)
 }
 
-func (p *process) stop() {
+// stop kills the process and removes its directory.
+func (p *balancerProcess) stop() {
 	p.command.Process.Kill()
 	p.command.Wait()
 	os.RemoveAll(p.dir)
 }
 
-// processorTime is what all threads of the process have used so far.
-func (p *process) processorTime() (time.Duration, error) {
+// cpuTime returns the processor time used so far by the live threads of the process.
+func (p *balancerProcess) cpuTime() (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.command.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	sum := int64(0)
+	total := int64(0)
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -115,13 +120,13 @@
 		if err != nil {
 			return 0, fmt.Errorf("%s: %w", file, err)
 		}
-		sum += ns
+		total += ns
 	}
-	return time.Duration(sum), nil
+	return time.Duration(total), nil
 }
 
-// memory is a figure of the process's status, such as VmRSS, in bytes.
-func (p *process) memory(name string) (float64, error) {
+// statusBytes returns a field of /proc/PID/status that is given in kB, such as VmRSS, in bytes.
+func (p *balancerProcess) statusBytes(name string) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	if err != nil {
 		return 0, err
@@ -132,11 +137,11 @@
 			return kb * 1024, err
 		}
 	}
-	return 0, fmt.Errorf("process status: no %s", name)
+	return 0, fmt.Errorf("process status has no field %s", name)
 }
 
-// descriptors counts the open files of the process.
-func (p *process) descriptors() (int, error) {
+// countDescriptors returns the number of open file descriptors of the process.
+func (p *balancerProcess) countDescriptors() (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.command.Process.Pid))
 	return len(entries), err
 }
--- a/internal/scale/simulation.go
+++ b/internal/scale/simulation.go
@@ -12,235 +12,241 @@
 )
 
 const (
-	hostTakes    = 50.0 // ms of a request at a cache host: 6,500 a second are 325 at work, 0.2 for each of 1,700 balancers
-	hostSlots    = 520  // a host is 62% busy at 6,500 a second
-	hostPatience = 150.0
-	originTakes  = 50.0
-	originLoad   = 0.625 // part of its slots that fetches keep busy in ordinary times
-	roundTrip    = 1.0   // ms
-	missPart     = 0.05  // part of the reads that the hosts lack, but for the popular key
-	ordinaryKeys = 1_000_000
-	startTime    = 1e6  // ms; at a time near zero a module would take hosts for just told of
-	sampleEvery  = 10.0 // ms
-	gateRoom     = 2.0  // gates of balancers that have served for long let out so many times what they need
-	slowFactor   = 4.0  // by which a slow host takes longer
-	popularKey   = "popular"
+	hostServiceTime   = 50.0  // ms; at 6,500 requests/s a host has 325 in service, 0.2 per balancer with 1,700 balancers
+	hostSlots         = 520   // 62% utilization at 6,500 requests/s
+	hostMaxWait       = 150.0 // ms
+	originServiceTime = 50.0  // ms
+	originUtilization = 0.625 // of the origin's slots under normal load
+	roundTrip         = 1.0   // ms
+	missRate          = 0.05  // share of reads that miss, except for the popular key
+	ordinaryKeys      = 1_000_000
+	startTime         = 1e6  // ms; with a start near zero, balancers would consider all hosts as just announced
+	sampleInterval    = 10.0 // ms
+	limiterHeadroom   = 2.0  // limits of balancers with learned state, relative to the concurrency that they need
+	slowHostFactor    = 4.0  // service time of a slow host, relative to a normal one
+	popularKey        = "popular"
 )
 
-// counts are what became of the requests of a simulation in its measured time.
-type counts struct {
+// requestCounts counts the requests of the measured time by outcome, and their pushes.
+type requestCounts struct {
 	arrived, served, nacked, deadLettered, pushes, refused int
 }
 
-// simulation plays requests, balancers, cache hosts and the origin in simulated time, without sockets.
+// simulation is a discrete-event simulation of requests, balancers, cache hosts and the origin, without sockets.
 type simulation struct {
 	scenario  Scenario
-	random    *rand.Rand
+	rng       *rand.Rand
 	now       float64 // ms
-	instances []*instance
-	servers   []*server // the cache hosts, then the origin
+	instances []*balancerInstance
+	servers   []*server // cache hosts, followed by the origin
 	attempts  timerqueue.Queue[*attempt]
-	timers    timerqueue.Queue[*instance]
-	figures   counts
-	latencies *hdrhistogram.Histogram // µs, of served requests
+	timers    timerqueue.Queue[*balancerInstance]
+	counts    requestCounts
+	latencies *hdrhistogram.Histogram // of served requests, in microseconds
 	samples   int
 }
 
+// newSimulation sets up a scenario at startTime, with all hosts listed. It returns an error if the settings are invalid.
 func newSimulation(s Scenario) (*simulation, error) {
-	x := &simulation{scenario: s, now: startTime, random: rand.New(rand.NewPCG(1, uint64(s.Balancers))), latencies: hdrhistogram.New(1, 10_000_000, 3)}
+	sim := &simulation{scenario: s, now: startTime, rng: rand.New(rand.NewPCG(1, uint64(s.Balancers))),
+		latencies: hdrhistogram.New(1, 10_000_000, 3)}
 	for host := range s.Hosts {
-		takes := hostTakes
+		serviceTime := hostServiceTime
 		if s.SlowEvery > 0 && host%s.SlowEvery == 0 {
-			takes *= slowFactor
+			serviceTime *= slowHostFactor
 		}
-		x.servers = append(x.servers, newServer(hostSlots, takes, hostPatience))
+		sim.servers = append(sim.servers, newServer(hostSlots, serviceTime, hostMaxWait))
 	}
-	slots := int(math.Ceil(x.rate() * missPart * originTakes / originLoad))
-	x.servers = append(x.servers, newServer(slots, originTakes, math.Inf(1)))
+	slots := int(math.Ceil(sim.requestsPerMS() * missRate * originServiceTime / originUtilization))
+	sim.servers = append(sim.servers, newServer(slots, originServiceTime, math.Inf(1)))
 	group := s.Balancers
 	if s.SingleBalancer {
 		group = 1
 	}
-	parameters, err := parameters(settings(group, s.AllowDuplicates))
+	parameters, err := parseSettings(balancerSettings(group, s.AllowDuplicates))
 	if err != nil {
 		return nil, err
 	}
 	for seed := range s.Balancers {
-		start, _, _ := parameters.ForBalancer(uint64(seed + 1))
-		start.ListOnRequest = false
-		start.Zone = seed % TargetZones
-		i := &instance{simulation: x}
+		config, _, _ := parameters.ForBalancer(uint64(seed + 1))
+		config.ListOnRequest = false
+		config.Zone = seed % TargetZones
+		i := &balancerInstance{simulation: sim}
 		if s.MaxConnections > 0 {
-			i.idle = make([]uint8, len(x.servers))
+			i.idleConnections = make([]uint8, len(sim.servers))
 		}
-		i.balancer = balance.New(start, i, x.now)
-		for place := range x.servers {
-			i.hosts = append(i.hosts, &balance.Host{Ref: place, Name: hostName(place), IsOrigin: place == s.Hosts})
+		i.balancer = balance.New(config, i, sim.now)
+		for index := range sim.servers {
+			i.hosts = append(i.hosts, &balance.Host{Ref: index, Name: hostName(index), IsOrigin: index == s.Hosts})
 		}
-		x.instances = append(x.instances, i)
-		x.list(i, nil)
+		sim.instances = append(sim.instances, i)
+		sim.listHosts(i, nil)
 		if !s.NoLearnedState {
-			i.balancer.Restore(x.learned())
+			i.balancer.Restore(sim.learnedState())
 		}
 	}
-	return x, nil
+	return sim, nil
 }
 
-// origin is the origin's place among the servers.
-func (x *simulation) origin() int { return len(x.servers) - 1 }
+// originIndex returns the origin's index in servers.
+func (sim *simulation) originIndex() int { return len(sim.servers) - 1 }
 
-// list tells a balancer its hosts; restarted are those that have just started anew.
-func (x *simulation) list(i *instance, restarted []int) {
+// listHosts sends a balancer the complete host list; the hosts with the indexes in restarted have just restarted.
+func (sim *simulation) listHosts(i *balancerInstance, restarted []int) {
 	entries := make([]balance.HostEntry, 0, len(i.hosts))
-	for place, host := range i.hosts {
-		listing := balance.Listing{Zone: place % TargetZones, Size: 1, UpSince: host.UpSince}
-		for _, r := range restarted {
-			if r == place {
-				listing.UpSince = x.now
+	for index, host := range i.hosts {
+		listing := balance.Listing{Zone: index % TargetZones, Size: 1, UpSince: host.UpSince}
+		for _, restartedIndex := range restarted {
+			if restartedIndex == index {
+				listing.UpSince = sim.now
 			}
 		}
 		entries = append(entries, balance.HostEntry{Host: host, Listing: listing})
 	}
-	i.balancer.Advance(x.now)
+	i.balancer.Advance(sim.now)
 	i.balancer.HostsListed(entries, true, false)
 }
 
-// learned is what a balancer knows that has served its part for long: the gates open by one in a latency, which takes minutes
-// where few balancers carry the whole load.
-func (x *simulation) learned() balance.Learned {
-	part := x.rate() / float64(x.scenario.Balancers)
-	fetches := part * missPart
+// learnedState returns the state that a balancer has learned after serving its share of the load for a long time. Limits open
+// by one per latency, so learning them takes minutes of simulated time when few balancers carry the load.
+func (sim *simulation) learnedState() balance.Learned {
+	requestRate := sim.requestsPerMS() / float64(sim.scenario.Balancers)
+	originRate := requestRate * missRate
 	return balance.Learned{
-		Rate:   part / float64(x.scenario.Hosts),
-		Usual:  1,
-		Fleet:  balance.LimiterState{Limit: gateRoom * math.Max(part*hostTakes, 1), Pain: hostTakes / (targetLatency / 1000), Lat: hostTakes, Dev: hostTakes / 4},
-		Origin: balance.LimiterState{Limit: gateRoom * math.Max(fetches*originTakes, 1), Lat: originTakes, Dev: originTakes / 4},
-		Rows:   []balance.CategoryState{{Target: targetLatency / 1000, Lat: hostTakes, Dev: hostTakes / 4}},
+		Rate:  requestRate / float64(sim.scenario.Hosts),
+		Usual: 1,
+		Fleet: balance.LimiterState{Limit: limiterHeadroom * math.Max(requestRate*hostServiceTime, 1),
+			Pain: hostServiceTime / (targetLatencyUS / 1000), Lat: hostServiceTime, Dev: hostServiceTime / 4},
+		Origin: balance.LimiterState{Limit: limiterHeadroom * math.Max(originRate*originServiceTime, 1),
+			Lat: originServiceTime, Dev: originServiceTime / 4},
+		Rows: []balance.CategoryState{{Target: targetLatencyUS / 1000, Lat: hostServiceTime, Dev: hostServiceTime / 4}},
 	}
 }
 
-// rate is how many requests a ms come to all balancers.
-func (x *simulation) rate() float64 {
-	return TargetRequestRate / TargetHosts * float64(x.scenario.Hosts) / 1000
+// requestsPerMS returns the request rate of the whole fleet, in requests per millisecond.
+func (sim *simulation) requestsPerMS() float64 {
+	return TargetRequestRate / TargetHosts * float64(sim.scenario.Hosts) / 1000
 }
 
-// run plays the warm-up and the measured time.
-func (x *simulation) run() {
-	x.advance(startTime + x.scenario.WarmUpMS)
-	x.strike()
-	for _, s := range x.servers {
-		s.forget()
+// run runs the warm-up and then the measured time.
+func (sim *simulation) run() {
+	sim.advance(startTime + sim.scenario.WarmUpMS)
+	sim.applyDisturbance()
+	for _, s := range sim.servers {
+		s.resetMeasurements()
 	}
-	x.figures, x.samples = counts{}, 0
-	x.latencies.Reset()
-	x.advance(startTime + x.scenario.WarmUpMS + x.scenario.MeasuredMS)
+	sim.counts, sim.samples = requestCounts{}, 0
+	sim.latencies.Reset()
+	sim.advance(startTime + sim.scenario.WarmUpMS + sim.scenario.MeasuredMS)
 }
 
-// strike begins what the scenario has happen with the measured time.
-func (x *simulation) strike() {
-	if x.scenario.OriginSlowdown > 1 {
-		x.servers[x.origin()].takes *= x.scenario.OriginSlowdown
+// applyDisturbance makes the changes that the scenario specifies for the start of the measured time.
+func (sim *simulation) applyDisturbance() {
+	if sim.scenario.OriginSlowdown > 1 {
+		sim.servers[sim.originIndex()].serviceTime *= sim.scenario.OriginSlowdown
 	}
-	if x.scenario.ColdHost {
-		x.servers[0].coldFrom = x.now
-		for _, i := range x.instances {
-			x.list(i, []int{0})
+	if sim.scenario.ColdHost {
+		sim.servers[0].coldSince = sim.now
+		for _, i := range sim.instances {
+			sim.listHosts(i, []int{0})
 		}
 	}
 }
 
-// advance plays events in order of their time.
-func (x *simulation) advance(end float64) {
-	rate := x.rate()
-	arrival := x.now + x.random.ExpFloat64()/rate
-	sample := x.now + sampleEvery
+// advance processes events in time order until the given simulated time, in milliseconds.
+func (sim *simulation) advance(end float64) {
+	rate := sim.requestsPerMS()
+	arrival := sim.now + sim.rng.ExpFloat64()/rate
+	sample := sim.now + sampleInterval
 	for {
-		next := min(arrival, sample, x.attempts.NextDue(), x.timers.NextDue())
+		next := min(arrival, sample, sim.attempts.NextDue(), sim.timers.NextDue())
 		if next > end {
-			x.now = end
+			sim.now = end
 			return
 		}
-		x.now = math.Max(x.now, next)
+		sim.now = math.Max(sim.now, next)
 		switch next {
 		case arrival:
-			x.arrive()
-			arrival = x.now + x.random.ExpFloat64()/rate
-		case x.attempts.NextDue():
-			a, _ := x.attempts.PopDue(x.now)
-			x.finish(a)
-		case x.timers.NextDue():
-			i, _ := x.timers.PopDue(x.now)
-			i.balancer.Advance(x.now)
+			sim.receiveRequest()
+			arrival = sim.now + sim.rng.ExpFloat64()/rate
+		case sim.attempts.NextDue():
+			a, _ := sim.attempts.PopDue(sim.now)
+			sim.handleAttempt(a)
+		case sim.timers.NextDue():
+			i, _ := sim.timers.PopDue(sim.now)
+			i.balancer.Advance(sim.now)
 			i.balancer.TimerFired()
 		default:
-			x.sample()
-			sample = x.now + sampleEvery
+			sim.sample()
+			sample = sim.now + sampleInterval
 		}
 	}
 }
 
-func (x *simulation) sample() {
-	x.samples++
-	for _, s := range x.servers {
+// sample records the outstanding requests of all servers.
+func (sim *simulation) sample() {
+	sim.samples++
+	for _, s := range sim.servers {
 		s.sample()
 	}
 }
 
-// arrive has a request come to a balancer drawn evenly.
-func (x *simulation) arrive() {
-	i := x.instances[x.random.IntN(len(x.instances))]
+// receiveRequest passes a new request to a randomly chosen balancer.
+func (sim *simulation) receiveRequest() {
+	i := sim.instances[sim.rng.IntN(len(sim.instances))]
 	key := popularKey
-	if x.random.Float64() >= x.scenario.PopularShare {
-		key = strconv.Itoa(x.random.IntN(ordinaryKeys))
+	if sim.rng.Float64() >= sim.scenario.PopularShare {
+		key = strconv.Itoa(sim.rng.IntN(ordinaryKeys))
 	}
-	x.figures.arrived++
-	i.balancer.Advance(x.now)
-	i.balancer.OpArrived(&balance.Op{Ref: &request{arrived: x.now}, Category: i.balancer.Categories[0], Key: key, Deadline: x.now + timeToLive/1000})
+	sim.counts.arrived++
+	i.balancer.Advance(sim.now)
+	i.balancer.OpArrived(&balance.Op{Ref: &request{arrivedAt: sim.now}, Category: i.balancer.Categories[0],
+		Key: key, Deadline: sim.now + ttlUS/1000})
 }
 
-// send takes a push to its server and reckons its outcome, and when that comes.
-func (x *simulation) send(i *instance, p *balance.Push, limit float64) {
-	place := p.Host.Ref.(int)
-	a := &attempt{instance: i, server: x.servers[place], place: place, push: p, sent: x.now}
+// sendPush sends a push to its server and schedules its outcome. The push times out after limit milliseconds.
+func (sim *simulation) sendPush(i *balancerInstance, p *balance.Push, limit float64) {
+	serverIndex := p.Host.Ref.(int)
+	a := &attempt{instance: i, server: sim.servers[serverIndex], serverIndex: serverIndex, push: p, sentAt: sim.now}
 	p.Ref = a
-	x.figures.pushes++
-	if !x.connect(a) {
+	sim.counts.pushes++
+	if !sim.acquireConnection(a) {
 		a.outcome = balance.ConnLimited
-		x.attempts.Set(a, x.now+roundTrip)
+		sim.attempts.Set(a, sim.now+roundTrip)
 		return
 	}
-	a.server.came++
-	done, taken := a.server.serve(x.now, x.random)
-	if !taken {
-		x.figures.refused++
+	a.server.received++
+	done, accepted := a.server.serve(sim.now, sim.rng)
+	if !accepted {
+		sim.counts.refused++
 		a.outcome = balance.Overloaded
-		x.attempts.Set(a, x.now+roundTrip)
+		sim.attempts.Set(a, sim.now+roundTrip)
 		return
 	}
-	a.working, a.done = true, done
-	a.outcome = x.answer(a)
-	if done+roundTrip > x.now+limit {
+	a.atServer, a.serverDoneAt = true, done
+	a.outcome = sim.drawOutcome(a)
+	if done+roundTrip > sim.now+limit {
 		a.outcome = balance.TimedOut
 	}
-	x.attempts.Set(a, math.Min(done+roundTrip, x.now+limit))
+	sim.attempts.Set(a, math.Min(done+roundTrip, sim.now+limit))
 }
 
-// answer draws what a server answers.
-func (x *simulation) answer(a *attempt) balance.Outcome {
-	if a.place != x.origin() && a.push.Op.Key != popularKey && x.random.Float64() < missPart {
+// drawOutcome draws the outcome of a request that its server accepts.
+func (sim *simulation) drawOutcome(a *attempt) balance.Outcome {
+	if a.serverIndex != sim.originIndex() && a.push.Op.Key != popularKey && sim.rng.Float64() < missRate {
 		return balance.CacheMiss
 	}
 	return balance.Served
 }
 
-// connect finds an idle connection, or opens one where the server's table has room.
-func (x *simulation) connect(a *attempt) bool {
-	idle := a.instance.idle
+// acquireConnection takes an idle connection or opens a new one. It returns false if the server's connection limit is reached.
+func (sim *simulation) acquireConnection(a *attempt) bool {
+	idle := a.instance.idleConnections
 	switch {
-	case idle == nil || a.place == x.origin():
-	case idle[a.place] > 0:
-		idle[a.place]--
-	case a.server.connections >= x.scenario.MaxConnections:
+	case idle == nil || a.serverIndex == sim.originIndex():
+	case idle[a.serverIndex] > 0:
+		idle[a.serverIndex]--
+	case a.server.connections >= sim.scenario.MaxConnections:
 		return false
 	default:
 		a.server.connections++
@@ -248,44 +254,46 @@
 	return true
 }
 
-// finish hands a push's outcome to its balancer, and its place to the server once that is done.
-func (x *simulation) finish(a *attempt) {
-	if a.working && x.now >= a.done {
-		a.working = false
+// handleAttempt handles an attempt's timer: it reports the outcome to the balancer, and releases the server's slot once the
+// server is done.
+func (sim *simulation) handleAttempt(a *attempt) {
+	if a.atServer && sim.now >= a.serverDoneAt {
+		a.atServer = false
 		a.server.outstanding--
 	}
-	if !a.over {
-		a.over = true
-		x.disconnect(a)
-		x.tell(a)
+	if !a.reported {
+		a.reported = true
+		sim.releaseConnection(a)
+		sim.reportOutcome(a)
 	}
-	if a.working {
-		x.attempts.Set(a, a.done)
+	if a.atServer {
+		sim.attempts.Set(a, a.serverDoneAt)
 	}
 }
 
-// disconnect gives a connection back, or closes it where its push was given up.
-func (x *simulation) disconnect(a *attempt) {
-	idle := a.instance.idle
+// releaseConnection makes a connection idle, or closes it if its push timed out or was cancelled.
+func (sim *simulation) releaseConnection(a *attempt) {
+	idle := a.instance.idleConnections
 	switch {
-	case idle == nil || a.place == x.origin() || a.outcome == balance.ConnLimited:
+	case idle == nil || a.serverIndex == sim.originIndex() || a.outcome == balance.ConnLimited:
 	case a.outcome == balance.TimedOut || a.outcome == balance.Cancelled:
 		a.server.connections--
-	case idle[a.place] < math.MaxUint8:
-		idle[a.place]++
+	case idle[a.serverIndex] < math.MaxUint8:
+		idle[a.serverIndex]++
 	}
 }
 
-func (x *simulation) tell(a *attempt) {
+// reportOutcome reports an attempt's outcome to its balancer, and records the latency of the first success of its request.
+func (sim *simulation) reportOutcome(a *attempt) {
 	var report *balance.LoadReport
-	if x.scenario.LoadReports && a.place != x.origin() {
-		report = &balance.LoadReport{Busy: a.server.busy()}
+	if sim.scenario.LoadReports && a.serverIndex != sim.originIndex() {
+		report = &balance.LoadReport{Busy: a.server.utilization()}
 	}
-	if r := a.push.Op.Ref.(*request); a.outcome == balance.Served && !r.ended {
-		r.ended = true
-		x.figures.served++
-		x.latencies.RecordValue(int64((x.now - r.arrived) * 1000))
+	if r := a.push.Op.Ref.(*request); a.outcome == balance.Served && !r.completed {
+		r.completed = true
+		sim.counts.served++
+		sim.latencies.RecordValue(int64((sim.now - r.arrivedAt) * 1000))
 	}
-	a.instance.balancer.Advance(x.now)
-	a.instance.balancer.PushEnded(a.push, a.outcome, x.now-a.sent, a.outcome == balance.Served, report)
+	a.instance.balancer.Advance(sim.now)
+	a.instance.balancer.PushEnded(a.push, a.outcome, sim.now-a.sentAt, a.outcome == balance.Served, report)
 }
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -1,6 +1,6 @@
-// Package scale measures how the cost of a balancer and of what it depends on grows with the size of the fleet: the host
-// list, the watch on discovery, routing decisions, connections, and the distribution of settings and purges. Its figures
-// stand in docs/CAPACITY.md; the command "larchthread scale" runs the measurements.
+// Package scale measures how the costs of a balancer grow with the size of the fleet: the host list, the watch on discovery,
+// routing decisions, connections, and the distribution of settings and purges. docs/CAPACITY.md lists the results; the command
+// "larchthread scale" runs the measurements.
 package scale
 
 import (
@@ -10,12 +10,12 @@
 	"text/tabwriter"
 )
 
-// Result is the outcome of one measurement. It is encoded as JSON as it is, or printed as tables.
+// Result is the outcome of one measurement. It can be encoded as JSON or printed as tables.
 type Result interface {
 	Tables() []Table
 }
 
-// Table is a plain table for the terminal.
+// Table is a text table for the terminal.
 type Table struct {
 	Title   string
 	Columns []string
@@ -23,7 +23,7 @@
 	Notes   []string // printed below the rows
 }
 
-// Print writes the table with aligned columns.
+// Print writes the title, the rows with aligned columns, and the notes.
 func (t Table) Print(out io.Writer) error {
 	if _, err := fmt.Fprintf(out, "%s\n\n", t.Title); err != nil {
 		return err
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// processorTime is the processor time that this process has used so far, in user and kernel mode.
-func processorTime() (time.Duration, error) {
+// cpuTime returns the user and kernel processor time that this process has used so far.
+func cpuTime() (time.Duration, error) {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
-		return 0, fmt.Errorf("processor time: %w", err)
+		return 0, fmt.Errorf("get processor time: %w", err)
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// liveHeap is the size of all reachable heap objects, in bytes.
-func liveHeap() uint64 {
+// liveHeapBytes returns the size of all reachable heap objects, in bytes.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC() // the first collection may have begun before the last objects became unreachable
 	var stats runtime.MemStats
@@ -26,4 +26,5 @@
 	return stats.HeapAlloc
 }
 
+// milliseconds returns a duration in milliseconds, in steps of one microsecond.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/scale/watch_real.go
+++ b/internal/scale/watch_real.go
@@ -4,68 +4,71 @@
 	"time"
 )
 
-const realSettles = 700 * time.Millisecond // until the real process has its list and waits for changes
+const realSettleDuration = 700 * time.Millisecond // lets the process receive its list and wait for changes
 
-// besideHollow is one real process that watches the same discovery, through a service of its own that counts its traffic.
-// Without a program to start it measures nothing.
-type besideHollow struct {
-	process *process
-	service *listService
-	before  traffic
-	used    time.Duration
-	began   time.Time
+// realBalancer is one balancer process that watches the same discovery through its own server, which counts its traffic.
+// Without a configured program it has no process and measures nothing.
+type realBalancer struct {
+	process       *balancerProcess
+	server        *discoveryServer
+	trafficBefore traffic
+	cpuBefore     time.Duration
+	startedAt     time.Time
 }
 
-func (r *watchRun) startReal() (*besideHollow, error) {
-	b := &besideHollow{}
+// startRealBalancer starts the configured program, if there is one, and waits until it watches discovery.
+func (r *watchRun) startRealBalancer() (*realBalancer, error) {
+	b := &realBalancer{}
 	if r.config.Program == "" {
 		return b, nil
 	}
 	var err error
-	if b.service, err = newListService(r.fleet, "real"); err != nil {
+	if b.server, err = newDiscoveryServer(r.fleet, "real"); err != nil {
 		return b, err
 	}
-	form := startForm{Name: "real", Discovery: b.service.address, Seed: "1", Settings: settings(r.row.Balancers, false),
-		Limits: processLimits{Cores: 1, MemoryMB: hollowMemoryMB, Sockets: hollowSockets}}
-	if b.process, err = startProcess(r.config.Program, r.config.Env, form); err != nil {
+	startFile := startFileJSON{Name: "real", Discovery: b.server.address, Seed: "1",
+		Settings: balancerSettings(r.row.Balancers, false),
+		Limits:   limitsFileJSON{Cores: 1, MemoryMB: hollowMemoryMB, Sockets: hollowSocketLimit}}
+	if b.process, err = startProcess(r.config.Program, r.config.Env, startFile); err != nil {
 		return b, err
 	}
-	time.Sleep(realSettles)
+	time.Sleep(realSettleDuration)
 	return b, nil
 }
 
-// begin begins the measured time.
-func (b *besideHollow) begin() (err error) {
+// beginMeasurement records the traffic and processor time at the start of the measured time.
+func (b *realBalancer) beginMeasurement() (err error) {
 	if b.process == nil {
 		return nil
 	}
-	b.before, b.began = b.service.traffic(), time.Now()
-	b.used, err = b.process.processorTime()
+	b.trafficBefore, b.startedAt = b.server.traffic(), time.Now()
+	b.cpuBefore, err = b.process.cpuTime()
 	return err
 }
 
-// end ends the measured time, and notes the figures.
-func (b *besideHollow) end(row *WatchRow) error {
+// endMeasurement stores what the process has used since beginMeasurement in row.
+func (b *realBalancer) endMeasurement(row *WatchRow) error {
 	if b.process == nil {
 		return nil
 	}
-	passed, seconds := b.service.traffic().minus(b.before), time.Since(b.began).Seconds()
-	used, err := b.process.processorTime()
+	total, seconds := b.server.traffic().sub(b.trafficBefore), time.Since(b.startedAt).Seconds()
+	cpuAfter, err := b.process.cpuTime()
 	if err != nil {
 		return err
 	}
-	row.RealCalls = float64(passed.Calls) / seconds
-	row.RealBytes = float64(passed.In+passed.Out) / seconds
-	row.RealCores = (used - b.used).Seconds() / seconds
-	row.RealMemory, err = b.process.memory("VmRSS")
+	row.RealCalls = float64(total.Calls) / seconds
+	row.RealBytes = float64(total.BytesIn+total.BytesOut) / seconds
+	row.RealCores = (cpuAfter - b.cpuBefore).Seconds() / seconds
+	row.RealMemory, err = b.process.statusBytes("VmRSS")
 	return err
 }
 
-func (b *besideHollow) stop() {
+// stop stops the process and its server, if they were started.
+func (b *realBalancer) stop() {
 	if b.process != nil {
 		b.process.stop()
 	}
-	if b.service != nil {
-		b.service.stop()
+	if b.server != nil {
+		b.server.stop()
 	}
 }
--- a/internal/scale/watch_test.go
+++ b/internal/scale/watch_test.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	watchSlack = 1.5 // by how much the bytes of a balancer may grow: a slow machine has more idle calls in between
-	wholeMost  = 2   // whole lists that a balancer is written at the most, in bytes: one, changes, and idle answers
+	maxWatchGrowth      = 1.5 // allowed growth of the bytes per balancer; slow machines make more idle calls
+	maxListsPerBalancer = 2   // limit of the bytes sent to a balancer, in full lists: one list, the changes, and idle responses
 )
 
-// TestWatchGrowth checks that discovery writes each change once to each balancer, no more bytes for a balancer where
-// there are more of them, and changes as changes, not as whole lists.
+// TestWatchGrowth guards against changes that are sent twice or as full lists, and against traffic per balancer that grows with
+// the number of balancers.
 func TestWatchGrowth(t *testing.T) {
 	const changes = 5
-	var bytes []Point
+	var traffic []Point
 	for _, balancers := range []int{20, 40, 80} {
 		r := &watchRun{config: WatchConfig{Hosts: TargetHosts}, row: WatchRow{Balancers: balancers}}
 		if err := r.startFleet(); err != nil {
@@ -24,8 +24,8 @@
 			t.Fatal(err)
 		}
 		for host := range changes {
-			r.list(host, "terminating", 0)
-			if _, err := r.reached(time.Now()); err != nil {
+			r.setHost(host, "terminating", 0)
+			if _, err := r.awaitCurrentList(time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -34,42 +34,43 @@
 				t.Error(err)
 			}
 		}
-		news := 0
-		for _, told := range r.fleet.SentLists() {
-			if len(told.Phases) > 0 {
-				news++
+		listsWithHosts := 0
+		for _, sent := range r.fleet.SentLists() {
+			if len(sent.Phases) > 0 {
+				listsWithHosts++
 			}
 		}
-		passed := r.service.traffic()
-		r.service.stop()
+		total := r.server.traffic()
+		r.server.stop()
 		r.fleet.Close()
-		if want := balancers * (1 + changes); news != want {
-			t.Errorf("%d balancers: %d lists with hosts, want a whole one and %d changes for each", balancers, news, changes)
+		if want := balancers * (1 + changes); listsWithHosts != want {
+			t.Errorf("%d balancers: %d lists with hosts, want a full list and %d changes for each", balancers, listsWithHosts, changes)
 		}
-		whole, err := listAnswer(wholeList(TargetHosts))
+		fullResponse, err := listResponse(fullList(TargetHosts))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if most := int64(wholeMost * len(whole) * balancers); passed.Out > most {
-			t.Errorf("%d balancers: %d bytes written, at most %d", balancers, passed.Out, most)
+		if maxBytes := int64(maxListsPerBalancer * len(fullResponse) * balancers); total.BytesOut > maxBytes {
+			t.Errorf("%d balancers: %d bytes written, want at most %d", balancers, total.BytesOut, maxBytes)
 		}
-		bytes = append(bytes, Point{float64(balancers), float64(passed.In + passed.Out)})
+		traffic = append(traffic, Point{float64(balancers), float64(total.BytesIn + total.BytesOut)})
 	}
-	if growth := worstGrowth(bytes); growth > watchSlack {
-		t.Errorf("bytes a balancer grow by %.2f from %v", growth, bytes)
+	if growth := largestGrowth(traffic); growth > maxWatchGrowth {
+		t.Errorf("bytes per balancer grow by a factor of %.2f: %v", growth, traffic)
 	}
 }
 
-// TestControlArithmetic checks that a balancer's part does not depend on how many there are, but for gossip's time, and that
-// the least that can be sent fits the limit.
+// TestControlArithmetic checks that the traffic per balancer does not depend on the number of balancers, and that wireBytes
+// counts segments and acknowledgements.
 func TestControlArithmetic(t *testing.T) {
 	small, large := CompareControl(170), CompareControl(1700)
-	for i, w := range large.Strategies {
-		if w.BalancerBytes != small.Strategies[i].BalancerBytes {
-			t.Errorf("%s: %v bytes a second with 1,700 balancers, %v with 170", w.Name, w.BalancerBytes, small.Strategies[i].BalancerBytes)
+	for i, strategy := range large.Strategies {
+		if strategy.BalancerBytes != small.Strategies[i].BalancerBytes {
+			t.Errorf("%s: %v bytes/s per balancer with 1,700 balancers, %v with 170",
+				strategy.Name, strategy.BalancerBytes, small.Strategies[i].BalancerBytes)
 		}
 	}
-	if got := wireBytes(1449); got != 1449+3*segmentHead {
-		t.Errorf("1,449 bytes are two segments and an acknowledgement: %v bytes", got)
+	if got := wireBytes(1449); got != 1449+3*segmentOverheadBytes {
+		t.Errorf("1,449 bytes take %v bytes on the wire, want two segments and one acknowledgement", got)
 	}
 }
