--- a/internal/feed/age.go
+++ b/internal/feed/age.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// currentWatermark returns the watermark of all that the node knows. A publisher knows all at any time, unless another one
-// has taken its place.
+// currentWatermark returns the watermark of the node's data. A publisher is always up to date, unless another publisher has
+// fenced it.
 func (n *Node) currentWatermark() watermark {
 	if n.config.Role == Publisher {
 		return watermark{known: !n.fenced, at: n.now}
 	}
-	return n.known
+	return n.watermark
 }
 
-// age returns how old the node's knowledge may be at most.
+// age returns an upper bound on the age of the node's data, or AgeUnknown.
 func (n *Node) age() time.Duration {
 	return n.currentWatermark().age(n.now)
 }
 
-// learn takes what a parent's message says of the age of all that the node knows with it. The parent goes by positions
-// alone: it doesn't know what an earlier snapshot, perhaps another parent's, has left out.
-func (n *Node) learn(echo Stamp, age time.Duration) {
+// updateWatermark advances the watermark by what a parent's message states: with that message applied, the data was at most
+// age old when the child sent the stamp echo. It does nothing while any kind is incomplete: the parent knows only the
+// positions, not which changes an earlier snapshot (possibly from another parent) left out.
+func (n *Node) updateWatermark(echo Stamp, age time.Duration) {
 	for i := range n.kinds {
-		if !n.kinds[i].isWhole() {
+		if !n.kinds[i].isComplete() {
 			return
 		}
 	}
-	n.known = n.known.later(watermarkFrom(echo, age, n.now))
-	n.checkAge()
+	n.watermark = n.watermark.later(watermarkFrom(echo, age, n.now))
+	n.updateFreshness()
 }
 
-// checkAge tells when knowledge becomes stale, or fresh.
-func (n *Node) checkAge() {
+// updateFreshness emits Stale or Fresh when the age of the data crosses Config.MaxAge.
+func (n *Node) updateFreshness() {
 	if n.config.Role == Publisher {
 		return
 	}
@@ -46,17 +47,18 @@
 	n.emit(Stale{Age: age})
 }
 
-// ageTick returns when knowledge becomes stale, if nothing is learned until then.
-func (n *Node) ageTick() time.Duration {
+// staleAt returns the time at which the data becomes stale if no parent confirms it before then, or never if it
+// is stale already.
+func (n *Node) staleAt() time.Duration {
 	if !n.fresh {
 		return never
 	}
-	return n.known.at + n.config.MaxAge + time.Millisecond
+	return n.watermark.at + n.config.MaxAge + time.Millisecond
 }
 
-// raiseEpoch takes an epoch from a peer. It ends what is bound to a lower one: a publisher's right to publish, or the
-// connection to a parent of a lower epoch.
-func (n *Node) raiseEpoch(epoch uint64) {
+// observeEpoch records an epoch reported by a peer. A higher epoch than any seen before fences a publisher, and closes the
+// connection to a parent that has a lower one.
+func (n *Node) observeEpoch(epoch uint64) {
 	if epoch <= n.epoch {
 		return
 	}
@@ -66,15 +68,15 @@
 		return
 	}
 	if parent := n.upstream.parent; parent != nil && parent.epoch < epoch {
-		n.endLink(parent, Refused{Reason: RefusedEpoch})
-		n.planNextParent(parent.index, n.now)
+		n.closeLink(parent, Refused{Reason: RefusedEpoch})
+		n.scheduleNextParent(parent.index, n.now)
 	}
 }
 
-// fence ends a publisher's work: what it told its children of the age of their knowledge doesn't hold anymore.
+// fence stops a publisher and disconnects its children, because the ages it has reported to them no longer hold.
 func (n *Node) fence() {
 	n.fenced = true
-	for len(n.children.inOrder) > 0 {
-		n.dismiss(n.children.inOrder[0], Refused{Reason: RefusedEpoch})
+	for len(n.children.ordered) > 0 {
+		n.closeChild(n.children.ordered[0], Refused{Reason: RefusedEpoch})
 	}
 }
--- a/internal/feed/age_test.go
+++ b/internal/feed/age_test.go
@@ -14,16 +14,16 @@
 	if age := node.Status().Age; age != 800*time.Millisecond {
 		t.Errorf("age %s", age)
 	}
-	// What says less takes nothing back.
+	// Messages with a higher age do not lower the watermark.
 	node.Receive(parentPeer, Heartbeat{Epoch: 5, Echo: echo, Age: time.Hour, Positions: node.positions()})
 	node.Receive(parentPeer, Heartbeat{Epoch: 5, Echo: echo, Age: AgeUnknown, Positions: node.positions()})
 	node.Receive(parentPeer, Heartbeat{Epoch: 5, Echo: stampAt(time.Hour), Age: 0, Positions: node.positions()})
 	if age := node.Status().Age; age != 800*time.Millisecond {
-		t.Errorf("age %s after messages that say less", age)
+		t.Errorf("age %s after messages with a higher age", age)
 	}
 }
 
-func TestAgeIsNotLearnedFromAMessageThatDoesNotFit(t *testing.T) {
+func TestAgeIgnoresMessagesThatDoNotFollow(t *testing.T) {
 	node := followingNode(t, subscriberConfig())
 	positions := []Position{{}, {5, 3}}
 	node.Receive(parentPeer, Heartbeat{Epoch: 5, Echo: stampAt(node.now), Positions: positions})
@@ -32,31 +32,33 @@
 	}
 }
 
-func TestAgeIsUnknownUntilASnapshotIsWhole(t *testing.T) {
+func TestAgeIsUnknownUntilASnapshotIsComplete(t *testing.T) {
 	node := followingNode(t, subscriberConfig())
 	echo := stampAt(node.now)
-	part := Snapshot{At: Position{5, 3}, Echo: echo, Entries: []Change{testChange(0, 5, 3)}, Last: true, CompleteAt: Position{5, 4}}
+	part := Snapshot{
+		At: Position{5, 3}, Echo: echo, Entries: []Change{testChange(0, 5, 3)}, Last: true, CompleteAt: Position{5, 4},
+	}
 	node.Receive(parentPeer, part)
 	if age := node.Status().Age; age != AgeUnknown {
-		t.Errorf("age %s before what superseded the changes left out has come", age)
+		t.Errorf("age %s before the superseding change has arrived", age)
 	}
 	rest := Batch{From: Position{5, 3}, Epoch: 5, Echo: echo, Changes: []Change{testChange(0, 5, 4)}}
 	node.Receive(parentPeer, rest)
 	if age := node.Status().Age; age != 0 {
-		t.Errorf("age %s after it has come", age)
+		t.Errorf("age %s after the superseding change has arrived", age)
 	}
 }
 
-func TestChildIsToldTheAgeOfWhatItLacks(t *testing.T) {
+func TestChildAgeCountsFromTheOldestMissingChange(t *testing.T) {
 	config := publisherConfig()
 	node := mustNode(t, config, []Change{testChange(0, 1, 1)})
 	node.PeerOpened(otherPeer, false)
-	hello := greeting(config, Relay, 1, AgeUnknown)
+	hello := newTestHello(config, Relay, 1, AgeUnknown)
 	hello.Positions[0] = Position{1, 1}
 	node.Receive(otherPeer, hello)
 	child := node.children.byPeer[otherPeer]
 	if age := node.childAge(child); age != 0 {
-		t.Errorf("a child that has all: %s", age)
+		t.Errorf("child that lacks nothing: age %s", age)
 	}
 	node.Tick(time.Second)
 	if _, err := node.Publish(0, []byte("key"), nil); err != nil {
@@ -64,16 +66,16 @@
 	}
 	node.now += 3 * time.Second
 	if age := node.childAge(child); age != 3*time.Second {
-		t.Errorf("a child that lacks a change of 3s ago: %s", age)
+		t.Errorf("child that lacks a change published 3s ago: age %s", age)
 	}
 	child.cursors[0].position = Position{}
 	if age := node.childAge(child); age != AgeUnknown {
-		t.Errorf("a child that lacks a change from before the start: %s", age)
+		t.Errorf("child that lacks a change from before the restart: age %s", age)
 	}
 }
 
-// agesOf runs a fleet of one relay in each of two regions for some seconds and returns the events of a subscriber of region 1
-// that tell of its age, and its age at the end.
+// agesOf runs a fleet with one relay in each of two regions for 15 seconds, cutting off region 1 after 5 seconds if isolate
+// is set. It returns the Stale and Fresh events of a subscriber in region 1 and its age at the end.
 func agesOf(t *testing.T, isolate bool) ([]Event, time.Duration) {
 	t.Helper()
 	p := plan{seed: 1, relays: 2, subscribers: 4, window: 300}
@@ -94,7 +96,7 @@
 	s.runUntil(15 * time.Second)
 	subscriber := s.byName[subscriberName(1)]
 	if !subscriber.node.Status().Connected {
-		t.Error("the subscriber has lost its relay, which is in its region")
+		t.Error("the subscriber is not connected to the relay in its region")
 	}
 	for _, violation := range s.checker.violations {
 		t.Error(violation)
@@ -102,7 +104,7 @@
 	return events, subscriber.node.Status().Age
 }
 
-func TestIdleRegionIsToldFromOneThatIsCutOff(t *testing.T) {
+func TestIdleRegionStaysFreshAndCutRegionTurnsStale(t *testing.T) {
 	events, age := agesOf(t, false)
 	if countEvents[Fresh](events) != 1 || countEvents[Stale](events) != 0 || age > DefaultMaxAge {
 		t.Errorf("idle: events %v, age %s", events, age)
@@ -113,7 +115,7 @@
 	}
 }
 
-func TestLiveChangesAreKnownWithinASecond(t *testing.T) {
+func TestLiveChangesArriveWithinASecond(t *testing.T) {
 	p := plan{seed: 3, relays: 3, subscribers: 30, window: 30000, purgesPerSecond: 22, settingsPerSecond: 1}
 	s := p.build()
 	s.publishUntil(20*time.Second, 0, p.settingsPerSecond)
@@ -133,13 +135,13 @@
 	}
 	subscriber := s.byName[subscriberName(7)].node.Status().Counters
 	perSecond := (subscriber.FromParents.Bytes + subscriber.ToParents.Bytes) / 20
-	t.Logf("a subscriber exchanges %d bytes a second", perSecond)
+	t.Logf("traffic per subscriber: %d bytes per second", perSecond)
 	if perSecond > 700 {
-		t.Errorf("%d bytes a second for each subscriber", perSecond)
+		t.Errorf("%d bytes per second per subscriber, want at most 700", perSecond)
 	}
 }
 
-func TestPurgesAreKnownAlsoWhereATotalBudgetIsShort(t *testing.T) {
+func TestPurgesArriveDespiteASmallTotalBudget(t *testing.T) {
 	config := planConfig(3000)
 	config.RelayBytesPerSecond = 6000
 	config.TotalBytesPerSecond = 6000
@@ -155,7 +157,7 @@
 	for _, node := range s.nodes {
 		s.start(node)
 	}
-	// Ten subscribers take 2,000 bytes a second for this, and 20,000 would take more than the total lets through at once.
+	// The burst of 100 purges exceeds what the total budget allows at once.
 	s.publishUntil(10*time.Second, 1, 5)
 	s.at(5*time.Second, func() {
 		for range 100 {
@@ -167,7 +169,7 @@
 		s.checker.current(subscriberName(i), s.now, s.now)
 	}
 	if deferred := s.byName[publisherName].node.Status().Counters.Deferred; deferred == 0 {
-		t.Error("nothing was put off")
+		t.Error("no changes were deferred")
 	}
 	for _, violation := range s.checker.violations {
 		t.Error(violation)
--- a/internal/feed/backoff.go
+++ b/internal/feed/backoff.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// backoff gives the waits between attempts: exponential with full jitter, so that nodes that lost the same parent at the
-// same moment don't come back at the same moment.
+// backoff computes delays between attempts: exponential with full jitter, so that nodes that lost the same parent at the
+// same moment do not reconnect at the same moment.
 type backoff struct {
-	least, most time.Duration
-	attempts    int
+	minDelay, maxDelay time.Duration
+	attempts           int
 }
 
-// next returns the wait before the next attempt: anything up to a ceiling that doubles with each attempt.
+// next returns the delay before the next attempt: random, up to a limit that doubles with each attempt.
 func (b *backoff) next(random *rand.Rand) time.Duration {
-	ceiling := b.least
+	limit := b.minDelay
 	for range b.attempts {
-		if ceiling >= b.most {
+		if limit >= b.maxDelay {
 			break
 		}
-		ceiling *= 2
+		limit *= 2
 	}
 	b.attempts++
-	return jitter(random, min(ceiling, b.most))
+	return jitter(random, min(limit, b.maxDelay))
 }
 
 func (b *backoff) reset() {
 	b.attempts = 0
 }
 
-// jitter returns a random duration of zero to limit.
+// jitter returns a random duration between zero and limit, inclusive.
 func jitter(random *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(limit) + 1))
 }
--- a/internal/feed/budget_test.go
+++ b/internal/feed/budget_test.go
@@ -9,20 +9,20 @@
 func TestBudgetFillsUpToItsBurst(t *testing.T) {
 	b := newBudget(1000, 300, 0)
 	if got := b.available(0); got != 300 {
-		t.Errorf("a new budget has %d", got)
+		t.Errorf("new budget: %d available", got)
 	}
 	b.take(300)
 	for now, wanted := range map[time.Duration]int{100 * time.Millisecond: 100} {
 		if got := b.available(now); got != wanted {
-			t.Errorf("%d available after %s, not %d", got, now, wanted)
+			t.Errorf("%d available after %s, want %d", got, now, wanted)
 		}
 	}
 	if got := b.available(time.Minute); got != 300 {
-		t.Errorf("%d available after a minute, not the burst", got)
+		t.Errorf("%d available after a minute, want the burst", got)
 	}
 }
 
-func TestBudgetIgnoresTimeThatGoesBack(t *testing.T) {
+func TestBudgetIgnoresEarlierTimes(t *testing.T) {
 	b := newBudget(1000, 300, time.Second)
 	b.take(300)
 	if got := b.available(0); got != 0 {
@@ -30,10 +30,10 @@
 	}
 }
 
-func TestBoundBudgetHoldsInAnySecond(t *testing.T) {
+func TestPerSecondBudgetHoldsInAnySecond(t *testing.T) {
 	const perSecond = 10_000
 	random := rand.New(rand.NewPCG(1, 1))
-	b := newBoundBudget(perSecond, 0)
+	b := newPerSecondBudget(perSecond, 0)
 	checker := newChecker(Config{})
 	now := time.Duration(0)
 	for range 10_000 {
@@ -57,7 +57,7 @@
 	const nodes = 500
 	for seed := range uint64(nodes) {
 		random := rand.New(rand.NewPCG(seed, seedStream))
-		retry := backoff{least: least, most: most}
+		retry := backoff{minDelay: least, maxDelay: most}
 		for i := range ceilings {
 			wait := retry.next(random)
 			if seed == 0 || wait < lowest[i] {
@@ -68,19 +68,19 @@
 	}
 	for i, ceiling := range ceilings {
 		if lowest[i] > ceiling/20 || highest[i] > ceiling || highest[i] < ceiling*19/20 {
-			t.Errorf("attempt %d: waits of %s to %s, not all over 0 to %s", i, lowest[i], highest[i], ceiling)
+			t.Errorf("attempt %d: delays of %s to %s, want the whole range from 0 to %s", i, lowest[i], highest[i], ceiling)
 		}
 	}
 }
 
-func TestBackoffBeginsAnewAfterReset(t *testing.T) {
+func TestBackoffRestartsAfterReset(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	retry := backoff{least: time.Millisecond, most: time.Hour}
+	retry := backoff{minDelay: time.Millisecond, maxDelay: time.Hour}
 	for range 15 {
 		retry.next(random)
 	}
 	retry.reset()
 	if wait := retry.next(random); wait > time.Millisecond {
-		t.Errorf("waits %s after a reset", wait)
+		t.Errorf("delay %s after a reset", wait)
 	}
 }
--- a/internal/feed/catchup.go
+++ b/internal/feed/catchup.go
@@ -3,18 +3,19 @@
 import "slices"
 
 const (
-	// messageOverhead is more than a message with changes takes besides them, age and echo included.
+	// messageOverhead is an upper bound on the bytes of a message apart from its changes, including age and echo.
 	messageOverhead = 64
-	// entryOverhead is the most that the lengths of a change's key and value take, snapshotOverhead what its position in a
-	// snapshot may take besides.
+	// entryOverhead bounds the bytes of the length prefixes of a change's key and value; snapshotOverhead bounds the bytes
+	// that the position of a change in a snapshot adds.
 	entryOverhead    = 4
 	snapshotOverhead = 8
-	// prefixesPerByte is a little more than the prefixes that a byte holds: the first guess at how many fit.
+	// prefixesPerByte is the first estimate of how many prefixes fit in a byte, slightly above the actual number.
 	prefixesPerByte = 0.5
 )
 
-// classify says how a child that is at a cursor is served next. A catch-up that has begun is kept to until it is done.
-func (l *kindLog) classify(at cursor, role Role, coarseAfter int) cursor {
+// selectMode returns the cursor with the mode in which the child is served next: snapshot, prefix sets, or neither for
+// batches and resets. A catch-up mode, once entered, is kept; prefix sets end early if the position leaves the window.
+func (l *kindLog) selectMode(at cursor, role Role, coarseAfter int) cursor {
 	inWindow := l.contains(at.position)
 	farBehind := !inWindow || role == Subscriber && len(l.after(at.position)) > coarseAfter
 	if l.config.Stateful {
@@ -25,7 +26,7 @@
 	return at
 }
 
-// needsReset tells whether what follows a cursor is not to be had, or is of no use to a newcomer.
+// needsReset reports whether the changes after a cursor are no longer available, or are of no use to a new subscriber.
 func (l *kindLog) needsReset(at cursor, role Role, coarseAfter int) bool {
 	if l.config.Stateful {
 		return false
@@ -36,9 +37,9 @@
 	return role == Subscriber && at.position.IsZero() && len(l.after(at.position)) > coarseAfter
 }
 
-// nextReset moves a subscriber to the head. A relay gets all of the window, for its children.
-func (l *kindLog) nextReset(at cursor, kind Kind, role Role, room room) (Message, cursor) {
-	if room.bytes < messageOverhead {
+// nextReset moves a subscriber to the head. A relay is moved to the start of the window, which its own children need.
+func (l *kindLog) nextReset(at cursor, kind Kind, role Role, allowance allowance) (Message, cursor) {
+	if allowance.bytes < messageOverhead {
 		return nil, at
 	}
 	to := l.head
@@ -48,52 +49,54 @@
 	return WindowReset{Kind: kind, From: at.position, To: to}, cursor{position: to}
 }
 
-// nextBatch returns as many changes of one epoch as there is room for.
-func (l *kindLog) nextBatch(at cursor, kind Kind, room room) (Message, cursor) {
+// nextBatch returns as many changes of one epoch as the allowance permits, or nil, and the cursor after them.
+func (l *kindLog) nextBatch(at cursor, kind Kind, allowance allowance) (Message, cursor) {
 	following := l.after(at.position)
 	epoch := following[0].change.Position.Epoch
 	batch := Batch{Kind: kind, From: at.position, Epoch: epoch}
 	size := messageOverhead
 	for _, record := range following {
 		size += changeSize(record.change)
-		if size > room.bytes || record.change.Position.Epoch != epoch {
+		if size > allowance.bytes || record.change.Position.Epoch != epoch {
 			break
 		}
 		batch.Changes = append(batch.Changes, record.change)
 	}
 	count := len(batch.Changes)
-	if count == 0 || size > room.bytes && !room.worthwhile {
+	if count == 0 || size > allowance.bytes && !allowance.allowsPartial {
 		return nil, at
 	}
 	at.position = batch.Changes[count-1].Position
 	return batch, at
 }
 
+// changeSize returns an upper bound on the encoded size of a change in a batch, in bytes.
 func changeSize(change Change) int {
 	return len(change.Key) + len(change.Value) + entryOverhead
 }
 
-// nextSnapshot returns as many of the latest changes as there is room for. A subscriber's snapshot ends at the head. A relay's
-// ends at the base of the window, which follows change by change, so that the relay can serve its own children from there.
-func (l *kindLog) nextSnapshot(at cursor, kind Kind, role Role, room room) (Message, cursor) {
+// nextSnapshot returns as many of the latest changes as the allowance permits, or nil, and the cursor after them. A
+// subscriber's snapshot ends at the head. A relay's ends at the base of the window, and the window follows change by change,
+// so that the relay can serve its own children from there.
+func (l *kindLog) nextSnapshot(at cursor, kind Kind, role Role, allowance allowance) (Message, cursor) {
 	end := l.head
 	if role == Relay && l.base.Compare(at.position) > 0 {
 		end = l.base
 	}
-	part := Snapshot{Kind: kind, From: at.position, At: end, Last: true, CompleteAt: laterOf(l.head, l.wholeAt)}
+	part := Snapshot{Kind: kind, From: at.position, At: end, Last: true, CompleteAt: laterOf(l.head, l.completeAt)}
 	size := messageOverhead
 	for _, change := range l.latest.after(at.position) {
 		if change.Position.Compare(end) > 0 {
 			break
 		}
 		size += changeSize(change) + snapshotOverhead
-		if size > room.bytes {
+		if size > allowance.bytes {
 			part.Last = false
 			break
 		}
 		part.Entries = append(part.Entries, change)
 	}
-	if size > room.bytes && (len(part.Entries) == 0 || !room.worthwhile) {
+	if size > allowance.bytes && (len(part.Entries) == 0 || !allowance.allowsPartial) {
 		return nil, at
 	}
 	if !part.Last {
@@ -104,27 +107,28 @@
 	return part, at
 }
 
-// nextPrefixSet returns the prefixes of as many changes as there is room for.
-func (l *kindLog) nextPrefixSet(at cursor, kind Kind, room room) (Message, cursor) {
+// nextPrefixSet returns the key prefixes of as many changes as the allowance permits, or nil, and the cursor after them.
+func (l *kindLog) nextPrefixSet(at cursor, kind Kind, allowance allowance) (Message, cursor) {
 	following := l.after(at.position)
-	count := min(len(following), int(float64(max(room.bytes, 0))*prefixesPerByte))
-	if count == 0 || count < len(following) && !room.worthwhile {
+	count := min(len(following), int(float64(max(allowance.bytes, 0))*prefixesPerByte))
+	if count == 0 || count < len(following) && !allowance.allowsPartial {
 		return nil, at
 	}
 	for count > 0 {
-		set := prefixSetOf(following[:count], at.position, kind)
+		set := newPrefixSet(following[:count], at.position, kind)
 		size := messageOverhead + riceSize(set.Prefixes)
-		if size <= room.bytes {
+		if size <= allowance.bytes {
 			at.position = set.To
 			return set, at
 		}
-		// A twentieth less than in proportion: smaller sets take more bits for each prefix.
-		count = min(count-1, count*room.bytes/size*19/20)
+		// Reduce by 5% more than proportionally: smaller sets take more bits per prefix.
+		count = min(count-1, count*allowance.bytes/size*19/20)
 	}
 	return nil, at
 }
 
-func prefixSetOf(records []record, from Position, kind Kind) PrefixSet {
+// newPrefixSet returns the set of the key prefixes of records, which follow the position from.
+func newPrefixSet(records []record, from Position, kind Kind) PrefixSet {
 	prefixes := make([]uint64, len(records))
 	for i, record := range records {
 		prefixes[i] = keyPrefix(record.change.Key, prefixBits)
@@ -139,9 +143,9 @@
 	}
 }
 
-// riceSize returns how many bytes a set of prefixes takes.
+// riceSize returns the encoded size of a set of prefixes in bytes.
 func riceSize(prefixes []uint64) int {
 	e := encoder{}
-	e.riceCoded(prefixes)
+	e.ricePrefixes(prefixes)
 	return len(e.buffer)
 }
--- a/internal/feed/catchup_test.go
+++ b/internal/feed/catchup_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// catchUp is a publisher with one child, which are run by virtual time.
+// catchUp runs a publisher with one child in virtual time.
 type catchUp struct {
 	s                *simulation
 	publisher, child *simulatedNode
-	// events are the child's.
+	// events are the child's events.
 	events []Event
 }
 
-// newCatchUp starts a publisher and publishes changes of a kind. The child isn't started yet.
+// newCatchUp starts a publisher and publishes count changes of a kind. The child is not started yet.
 func newCatchUp(t *testing.T, role Role, window int, kind Kind, count int) *catchUp {
 	t.Helper()
 	config := planConfig(window)
@@ -49,8 +49,8 @@
 	}
 }
 
-// away publishes changes while the child is cut off, and lets it come back.
-func (c *catchUp) away(kind Kind, count int) {
+// disconnectDuring publishes changes while the child is cut off, then lets it reconnect.
+func (c *catchUp) disconnectDuring(kind Kind, count int) {
 	c.s.isolated[1] = true
 	c.s.runUntil(c.s.now + 3*time.Second)
 	c.publish(kind, count)
@@ -59,7 +59,7 @@
 	c.s.runUntil(c.s.now + 8*time.Second)
 }
 
-func (c *catchUp) finish(t *testing.T) {
+func (c *catchUp) requireConsistent(t *testing.T) {
 	t.Helper()
 	c.s.checker.current("child", c.s.now, c.s.now)
 	c.s.checker.latestState("child", c.s.now)
@@ -68,7 +68,7 @@
 	}
 }
 
-// countEvents returns how many events of a type there are.
+// countEvents returns the number of events of one type.
 func countEvents[T Event](events []Event) int {
 	count := 0
 	for _, event := range events {
@@ -79,7 +79,7 @@
 	return count
 }
 
-func TestCatchUpByHowFarBehind(t *testing.T) {
+func TestCatchUpModeDependsOnDistance(t *testing.T) {
 	const window = 1000
 	tests := []struct {
 		name                string
@@ -91,11 +91,11 @@
 	}{
 		{name: "purges, subscriber a little behind", role: Subscriber, kind: 1, missed: DefaultCoarseAfter, exact: true},
 		{name: "purges, subscriber far behind", role: Subscriber, kind: 1, missed: DefaultCoarseAfter + 1, sets: true},
-		{name: "purges, subscriber at the window's end", role: Subscriber, kind: 1, missed: window, sets: true},
+		{name: "purges, subscriber at the end of the window", role: Subscriber, kind: 1, missed: window, sets: true},
 		{name: "purges, subscriber beyond the window", role: Subscriber, kind: 1, missed: window + 1, resets: true},
-		{name: "purges, relay at the window's end", role: Relay, kind: 1, missed: window, exact: true},
+		{name: "purges, relay at the end of the window", role: Relay, kind: 1, missed: window, exact: true},
 		{name: "purges, relay beyond the window", role: Relay, kind: 1, missed: window + 1, exact: true, resets: true},
-		{name: "settings, subscriber at the window's end", role: Subscriber, kind: 0, missed: 300, exact: true},
+		{name: "settings, subscriber at the end of the window", role: Subscriber, kind: 0, missed: 300, exact: true},
 		{name: "settings, subscriber beyond the window", role: Subscriber, kind: 0, missed: window + 1, snapshots: true},
 		{name: "settings, relay beyond the window", role: Relay, kind: 0, missed: window + 1, exact: true, snapshots: true},
 	}
@@ -104,8 +104,8 @@
 			c := newCatchUp(t, test.role, window, test.kind, 10)
 			c.s.start(c.child)
 			c.s.runUntil(2 * time.Second)
-			c.away(test.kind, test.missed)
-			c.finish(t)
+			c.disconnectDuring(test.kind, test.missed)
+			c.requireConsistent(t)
 			exact, sets := countEvents[Applied](c.events), countEvents[AppliedSet](c.events)
 			resets, snapshots := countEvents[Reset](c.events), countEvents[AppliedSnapshot](c.events)
 			if exact > 0 != test.exact || sets > 0 != test.sets || resets > 0 != test.resets || snapshots > 0 != test.snapshots {
@@ -115,14 +115,14 @@
 	}
 }
 
-func TestSetOfPrefixesTakesFewOthersWithIt(t *testing.T) {
+func TestPrefixSetsAreCompact(t *testing.T) {
 	const missed = 2640
 	c := newCatchUp(t, Subscriber, 30000, 1, 10)
 	c.s.start(c.child)
 	c.s.runUntil(2 * time.Second)
 	before := c.publisher.node.Status().Counters.ToChildren.Bytes
-	c.away(1, missed)
-	c.finish(t)
+	c.disconnectDuring(1, missed)
+	c.requireConsistent(t)
 	prefixes := 0
 	for _, event := range c.events {
 		if set, ok := event.(AppliedSet); ok {
@@ -136,19 +136,19 @@
 	}
 }
 
-func TestNewcomerGetsTheLatestStateInParts(t *testing.T) {
+func TestNewNodeReceivesTheLatestStateInParts(t *testing.T) {
 	for _, role := range []Role{Subscriber, Relay} {
 		c := newCatchUp(t, role, 100, 0, 600)
 		c.s.start(c.child)
 		c.s.runUntil(5 * time.Second)
-		c.finish(t)
+		c.requireConsistent(t)
 		if parts := countEvents[AppliedSnapshot](c.events); parts == 0 || role == Subscriber && parts < 2 {
 			t.Errorf("%s: %d parts of a snapshot", role, parts)
 		}
 	}
 }
 
-func TestSnapshotIsResumedWhereItBrokeOff(t *testing.T) {
+func TestSnapshotResumesAfterConnectionLoss(t *testing.T) {
 	c := newCatchUp(t, Subscriber, 10, 0, 0)
 	for i := range 200 {
 		c.s.publish(c.publisher, 0, fmt.Appendf(nil, "key-%d", i), make([]byte, 40))
@@ -159,7 +159,7 @@
 	}
 	c.s.breakConnections(c.child)
 	c.s.runUntil(c.s.now + 10*time.Second)
-	c.finish(t)
+	c.requireConsistent(t)
 	sent := 0
 	for _, event := range c.events {
 		if part, ok := event.(AppliedSnapshot); ok {
@@ -171,28 +171,28 @@
 	}
 }
 
-func TestNewcomerDoesNotGetOldPurges(t *testing.T) {
+func TestNewSubscriberSkipsOldPurges(t *testing.T) {
 	c := newCatchUp(t, Subscriber, 3000, 1, 2000)
 	c.s.start(c.child)
 	c.s.runUntil(2 * time.Second)
-	c.finish(t)
+	c.requireConsistent(t)
 	if resets, others := countEvents[Reset](c.events), countEvents[AppliedSet](c.events); resets != 1 || others != 0 {
 		t.Errorf("%d resets, %d sets", resets, others)
 	}
 }
 
-func TestRelayGetsTheWholeWindowForItsChildren(t *testing.T) {
+func TestRelayReceivesTheWholeWindow(t *testing.T) {
 	c := newCatchUp(t, Relay, 1000, 1, 1500)
 	c.s.start(c.child)
 	c.s.runUntil(4 * time.Second)
-	c.finish(t)
+	c.requireConsistent(t)
 	if records := len(c.child.node.kinds[1].records); records != 1000 {
-		t.Errorf("its window has %d changes", records)
+		t.Errorf("the window has %d changes, want 1000", records)
 	}
 }
 
-func TestDivergedChildGoesForward(t *testing.T) {
-	// The child has seen changes 11 to 20 of a publisher that is gone. The next one goes on after 10.
+func TestDivergedChildMovesForward(t *testing.T) {
+	// The child has received changes 11 to 20 from a publisher that is gone. Its successor continues after change 10.
 	log := newKindLog(KindConfig{Window: 100}, true)
 	for sequence := uint64(1); sequence <= 15; sequence++ {
 		epoch := uint64(1)
@@ -203,17 +203,17 @@
 	}
 	at := cursor{position: Position{1, 20}}
 	if !log.needsReset(at, Relay, DefaultCoarseAfter) {
-		t.Fatal("no reset for a position that isn't in the log")
+		t.Fatal("no reset for a position that is not in the log")
 	}
 	for role, wanted := range map[Role]Position{Relay: {2, 11}, Subscriber: {2, 15}} {
-		message, after := log.nextReset(at, 1, role, room{bytes: 1000})
+		message, after := log.nextReset(at, 1, role, allowance{bytes: 1000})
 		if reset := message.(WindowReset); reset.To != wanted || after.position != wanted {
-			t.Errorf("%s: reset to %s, not %s", role, reset.To, wanted)
+			t.Errorf("%s: reset to %s, want %s", role, reset.To, wanted)
 		}
 	}
 }
 
-func TestSettingsGoBeforePurges(t *testing.T) {
+func TestSettingsAreSentBeforePurges(t *testing.T) {
 	c := newCatchUp(t, Subscriber, 3000, 1, 10)
 	c.s.start(c.child)
 	c.s.runUntil(2 * time.Second)
@@ -224,7 +224,7 @@
 	c.events = nil
 	delete(c.s.isolated, 1)
 	c.s.runUntil(c.s.now + 8*time.Second)
-	c.finish(t)
+	c.requireConsistent(t)
 	lastSetting := slices.IndexFunc(c.events, func(event Event) bool {
 		applied, ok := event.(Applied)
 		return ok && applied.Change.Kind == 0 && applied.Change.Position.Sequence == 20
--- a/internal/feed/change.go
+++ b/internal/feed/change.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// Kind names a kind of change by its index into Config.Kinds.
+// Kind identifies a kind of change by its index in Config.Kinds.
 type Kind uint8
 
-// MaxKeyLength is the longest key of a change in bytes.
+// MaxKeyLength is the maximum length of a change's key in bytes.
 const MaxKeyLength = 128
 
-// KindConfig says how the changes of one kind are kept and caught up with.
+// KindConfig configures how the changes of one kind are stored and how nodes catch up with them.
 type KindConfig struct {
-	// Name is for logs and status, for example "settings" or "purges".
+	// Name appears in logs and status, for example "settings" or "purges".
 	Name string
-	// Latest kinds have a state: the latest value by key, all of which a newcomer gets. Others are events without a
-	// state, of which only the window is kept.
+	// Stateful kinds have a state, the latest value of each key, which new nodes receive in full. Other kinds consist of
+	// events, of which only the window is stored.
 	Stateful bool
-	// Window is how many of the latest changes are kept for an exact catch-up.
+	// Window is the number of most recent changes that are stored for catching up change by change.
 	Window int
-	// MaxValue is the longest value in bytes.
+	// MaxValue is the maximum length of a value in bytes.
 	MaxValue int
 }
 
-// Position is a place in the order of the changes of one kind. The zero Position stands before the first change.
+// Position is a place in the order of the changes of one kind. The zero Position precedes the first change.
 type Position struct {
 	Epoch    uint64
 	Sequence uint64
 }
 
-// Compare orders positions by epoch, then by sequence: it returns -1, 0 or 1.
+// Compare orders positions by epoch, then by sequence. It returns -1, 0 or 1.
 func (p Position) Compare(other Position) int {
 	if byEpoch := cmp.Compare(p.Epoch, other.Epoch); byEpoch != 0 {
 		return byEpoch
@@ -45,17 +45,17 @@
 	return b
 }
 
-// IsZero tells whether p stands before the first change.
+// IsZero reports whether p precedes the first change.
 func (p Position) IsZero() bool {
 	return p == Position{}
 }
 
-// String returns p as epoch/sequence.
+// String formats p as epoch/sequence.
 func (p Position) String() string {
 	return fmt.Sprintf("%d/%d", p.Epoch, p.Sequence)
 }
 
-// Change is one change of a kind.
+// Change is one published change: a key and its value at a position of a kind.
 type Change struct {
 	Kind     Kind
 	Position Position
--- a/internal/feed/checker_planted_test.go
+++ b/internal/feed/checker_planted_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// plantedPlan has a cut that is long enough for sets of prefixes, and a restart that makes for snapshots and resets.
+// plantedPlan contains a cut long enough to cause prefix sets, and a restart that causes snapshots and resets.
 func plantedPlan(window int) plan {
 	return plan{
 		seed: 1, relays: 2, subscribers: 6, window: window, purgesPerSecond: 22, settingsPerSecond: 4,
@@ -20,40 +20,40 @@
 	}
 }
 
-// tamperOnce returns a tamper that spoils what one node reports, the first time that it can.
-func tamperOnce(spoil func([]Event) ([]Event, bool)) func(*simulatedNode, []Event) []Event {
+// tamperOnce returns a tamper function that corrupts what one node reports, at the first opportunity.
+func tamperOnce(corrupt func([]Event) ([]Event, bool)) func(*simulatedNode, []Event) []Event {
 	done := false
 	return func(node *simulatedNode, events []Event) []Event {
 		if done || node.name != subscriberName(1) {
 			return events
 		}
-		spoilt, did := spoil(slices.Clone(events))
+		corrupted, did := corrupt(slices.Clone(events))
 		if !did {
 			return events
 		}
 		done = true
-		return spoilt
+		return corrupted
 	}
 }
 
-// indexOf returns where the first event of a type is, or -1.
+// indexOf returns the index of the first event of a type, or -1.
 func indexOf[T Event](events []Event) int {
 	return slices.IndexFunc(events, func(event Event) bool {
-		_, is := event.(T)
-		return is
+		_, ok := event.(T)
+		return ok
 	})
 }
 
-// spoilFirst returns a spoiler of the first event of a type.
-func spoilFirst[T Event](spoil func(T) []Event) func([]Event) ([]Event, bool) {
+// corruptFirst returns a function that corrupts the first event of a type.
+func corruptFirst[T Event](corrupt func(T) []Event) func([]Event) ([]Event, bool) {
 	return func(events []Event) ([]Event, bool) {
 		index := indexOf[T](events)
 		if index < 0 {
 			return events, false
 		}
-		spoilt := spoil(events[index].(T))
-		did := !reflect.DeepEqual(spoilt, []Event{events[index]})
-		return slices.Replace(events, index, index+1, spoilt...), did
+		corrupted := corrupt(events[index].(T))
+		done := !reflect.DeepEqual(corrupted, []Event{events[index]})
+		return slices.Replace(events, index, index+1, corrupted...), done
 	}
 }
 
@@ -67,32 +67,34 @@
 	}{
 		{"none", largeWindow, nil, ""},
 		{"none with a small window", smallWindow, nil, ""},
-		{"dropped change", largeWindow, plantEvents(spoilFirst(func(Applied) []Event { return nil })), "changes are lost"},
-		{"repeated change", largeWindow, plantEvents(spoilFirst(func(e Applied) []Event { return []Event{e, e} })), "repeated or out of order"},
+		{"dropped change", largeWindow, plantEvents(corruptFirst(func(Applied) []Event { return nil })), "changes are lost"},
+		{"repeated change", largeWindow, plantEvents(corruptFirst(func(e Applied) []Event {
+			return []Event{e, e}
+		})), "repeated or out of order"},
 		{"changes out of order", largeWindow, plantEvents(swapChanges), "changes are lost"},
-		{"changed value", largeWindow, plantEvents(spoilFirst(func(e Applied) []Event {
+		{"changed value", largeWindow, plantEvents(corruptFirst(func(e Applied) []Event {
 			e.Change.Value = []byte("other")
 			return []Event{e}
-		})), "not published like that"},
-		{"missing prefix", largeWindow, plantEvents(spoilFirst(func(e AppliedSet) []Event {
+		})), "differs from what was published"},
+		{"missing prefix", largeWindow, plantEvents(corruptFirst(func(e AppliedSet) []Event {
 			e.Prefixes = e.Prefixes[1:]
 			return []Event{e}
-		})), "has not the prefixes"},
-		{"excess prefix", largeWindow, plantEvents(spoilFirst(func(e AppliedSet) []Event {
+		})), "does not match the prefixes"},
+		{"excess prefix", largeWindow, plantEvents(corruptFirst(func(e AppliedSet) []Event {
 			e.Prefixes = append(slices.Clone(e.Prefixes), 1<<24-1)
 			return []Event{e}
-		})), "has not the prefixes"},
-		{"dropped set", largeWindow, plantEvents(spoilFirst(func(AppliedSet) []Event { return nil })), "the node was at"},
-		{"needless set", largeWindow, plantEvents(spoilFirst(needlessSet)), "is not needed"},
-		{"needless reset", largeWindow, plantEvents(spoilFirst(func(e AppliedSet) []Event {
+		})), "does not match the prefixes"},
+		{"dropped set", largeWindow, plantEvents(corruptFirst(func(AppliedSet) []Event { return nil })), "the node was at"},
+		{"needless set", largeWindow, plantEvents(corruptFirst(needlessSet)), "is not needed"},
+		{"needless reset", largeWindow, plantEvents(corruptFirst(func(e AppliedSet) []Event {
 			return []Event{Reset{Kind: e.Kind, From: e.From, To: e.To}}
 		})), "is not needed"},
-		{"needless snapshot", largeWindow, plantEvents(spoilFirst(needlessSnapshot)), "is not needed"},
-		{"snapshot without its entries", smallWindow, plantEvents(spoilFirst(func(e AppliedSnapshot) []Event {
+		{"needless snapshot", largeWindow, plantEvents(corruptFirst(needlessSnapshot)), "is not needed"},
+		{"snapshot without its entries", smallWindow, plantEvents(corruptFirst(func(e AppliedSnapshot) []Event {
 			e.Changes = nil
 			return []Event{e}
-		})), "the latest of its key"},
-		{"understated age", largeWindow, plantYoungAge, "states an age"},
+		})), "the latest change of its key"},
+		{"understated age", largeWindow, plantYoungAge, "reports an age"},
 		{"too many bytes", largeWindow, plantManyBytes, "bytes within a second"},
 		{"never current", largeWindow, plantSilence, "is not current"},
 	}
@@ -102,7 +104,7 @@
 			s := runPlan(plantedPlan(test.window), test.plant)
 			if test.wanted == "" {
 				if len(s.checker.violations) > 0 {
-					t.Errorf("found with no fault planted: %s", s.checker.violations[0])
+					t.Errorf("violation without a planted fault: %s", s.checker.violations[0])
 				}
 				return
 			}
@@ -110,17 +112,17 @@
 				return strings.Contains(violation, test.wanted)
 			})
 			if !found {
-				t.Errorf("no violation has %q; found: %q", test.wanted, s.checker.violations)
+				t.Errorf("no violation contains %q; found: %q", test.wanted, s.checker.violations)
 			}
 		})
 	}
 }
 
-func plantEvents(spoil func([]Event) ([]Event, bool)) func(*simulation) {
-	return func(s *simulation) { s.tamper = tamperOnce(spoil) }
+func plantEvents(corrupt func([]Event) ([]Event, bool)) func(*simulation) {
+	return func(s *simulation) { s.tamper = tamperOnce(corrupt) }
 }
 
-// swapChanges swaps two changes that follow each other.
+// swapChanges swaps two consecutive changes.
 func swapChanges(events []Event) ([]Event, bool) {
 	for i := 1; i < len(events); i++ {
 		first, isFirst := events[i-1].(Applied)
@@ -133,7 +135,7 @@
 	return events, false
 }
 
-// needlessSet reports a change that came exactly as a set.
+// needlessSet reports a change that was received individually as a prefix set.
 func needlessSet(e Applied) []Event {
 	if e.Change.Kind != 1 {
 		return []Event{e}
@@ -148,7 +150,7 @@
 	}}
 }
 
-// needlessSnapshot reports a change that came in a batch as a snapshot, if it isn't the first.
+// needlessSnapshot reports a change that was received in a batch as a snapshot, unless it is the first change.
 func needlessSnapshot(e Applied) []Event {
 	position := e.Change.Position
 	if e.Change.Kind != 0 || position.Sequence == 1 {
@@ -158,7 +160,7 @@
 	return []Event{AppliedSnapshot{Kind: 0, From: from, To: position, Changes: []Change{e.Change}, Last: true}}
 }
 
-// plantSilence drops all that one node reports.
+// plantSilence drops all events of one node.
 func plantSilence(s *simulation) {
 	s.tamper = func(node *simulatedNode, events []Event) []Event {
 		if node.name == subscriberName(1) {
@@ -169,7 +171,7 @@
 }
 
 func plantYoungAge(s *simulation) {
-	s.restateAge = func(node *simulatedNode, age time.Duration) time.Duration {
+	s.adjustAge = func(node *simulatedNode, age time.Duration) time.Duration {
 		if node.name != subscriberName(1) || age == AgeUnknown {
 			return age
 		}
@@ -178,7 +180,7 @@
 }
 
 func plantManyBytes(s *simulation) {
-	s.weigh = func(node *simulatedNode, bytes int) int {
+	s.adjustBytes = func(node *simulatedNode, bytes int) int {
 		if node.name != subscriberName(1) {
 			return bytes
 		}
--- a/internal/feed/checker_test.go
+++ b/internal/feed/checker_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// checker judges what nodes report by what was published, and by nothing of the mechanism.
+// checker verifies what nodes report against what was published, independently of the implementation.
 type checker struct {
 	kinds []KindConfig
-	// coarseAfter is the setting of that name.
+	// coarseAfter is Config.CoarseAfter.
 	coarseAfter int
 	published   [][]publication
 	views       map[string]*view
@@ -18,7 +18,7 @@
 	violations  []string
 }
 
-// publication is a change and when it was published.
+// publication is a change and the time at which it was published.
 type publication struct {
 	change Change
 	at     time.Duration
@@ -33,11 +33,11 @@
 // kindView is what a node has reported of one kind.
 type kindView struct {
 	position Position
-	// applied is the sequence of the latest change that was applied, by key. Kinds with a latest state only.
+	// applied holds the sequence of the latest applied change of each key.
 	applied map[string]uint64
-	// skipped are changes that a snapshot left out, whose keys are still to come.
+	// skipped holds changes left out by a snapshot, while the changes that supersede them have not arrived.
 	skipped []publication
-	// catchingUp: the latest event was a part of a catch-up that goes on.
+	// catchingUp: the latest event was part of a catch-up that is not complete.
 	catchingUp bool
 }
 
@@ -55,16 +55,16 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
-// publish takes a change that was acknowledged.
+// publish records a published change.
 func (c *checker) publish(change Change, now time.Duration) {
 	list := c.published[change.Kind]
 	if change.Position.Sequence != uint64(len(list))+1 {
-		c.fail("%s: publication %s of kind %d doesn't follow %d others", now, change.Position, change.Kind, len(list))
+		c.fail("%s: publication %s of kind %d does not follow the %d before it", now, change.Position, change.Kind, len(list))
 	}
 	c.published[change.Kind] = append(list, publication{change: change, at: now})
 }
 
-// start takes the start of a node, or its start anew with nothing kept.
+// start records that a node has started without any data.
 func (c *checker) start(node string, role Role) {
 	v := &view{role: role, kinds: make([]kindView, len(c.kinds))}
 	for i := range v.kinds {
@@ -73,7 +73,7 @@
 	c.views[node] = v
 }
 
-// event takes what a node reports.
+// event verifies an event of a node.
 func (c *checker) event(node string, event Event, now time.Duration) {
 	var problem string
 	v := c.views[node]
@@ -100,7 +100,7 @@
 	case position.Sequence != k.position.Sequence+1:
 		return fmt.Sprintf("%s comes after %s: changes are lost", position, k.position)
 	case !c.wasPublished(change):
-		return fmt.Sprintf("%s was not published like that", position)
+		return fmt.Sprintf("%s differs from what was published", position)
 	}
 	k.position = position
 	k.applied[string(change.Key)] = position.Sequence
@@ -119,7 +119,7 @@
 		bytes.Equal(original.Value, change.Value)
 }
 
-// span returns the publications after from up to to, or what is wrong with these.
+// span returns the publications after from up to and including to, or a description of what is wrong with the span.
 func (c *checker) span(k *kindView, kind Kind, from, to Position) ([]publication, string) {
 	list := c.published[kind]
 	switch {
@@ -131,7 +131,7 @@
 	return list[from.Sequence:to.Sequence], ""
 }
 
-// behind tells by how many changes a node is behind what is published.
+// behind returns the number of published changes after a position.
 func (c *checker) behind(kind Kind, at Position) int {
 	return len(c.published[kind]) - int(at.Sequence)
 }
@@ -143,7 +143,7 @@
 		return problem
 	}
 	if v.role != Subscriber || c.kinds[e.Kind].Stateful {
-		return "is not for this node or kind"
+		return "is not allowed for this node or kind"
 	}
 	if !k.catchingUp && c.behind(e.Kind, e.From) <= c.coarseAfter {
 		return fmt.Sprintf("is not needed: %d behind", c.behind(e.Kind, e.From))
@@ -155,7 +155,7 @@
 	}
 	slices.Sort(wanted)
 	if e.PrefixBits != 24 || !slices.Equal(slices.Compact(wanted), e.Prefixes) {
-		return fmt.Sprintf("of %s to %s has not the prefixes of the changes there", e.From, e.To)
+		return fmt.Sprintf("from %s to %s does not match the prefixes of the changes", e.From, e.To)
 	}
 	k.position = e.To
 	k.catchingUp = true
@@ -174,7 +174,7 @@
 	last := e.From
 	for _, change := range e.Changes {
 		if change.Position.Compare(last) <= 0 || change.Position.Compare(e.To) > 0 || !c.wasPublished(change) {
-			return fmt.Sprintf("has a wrong entry at %s", change.Position)
+			return fmt.Sprintf("has an invalid entry at %s", change.Position)
 		}
 		present[change.Position.Sequence] = true
 		k.applied[string(change.Key)] = change.Position.Sequence
@@ -185,7 +185,7 @@
 			continue
 		}
 		if !c.superseded(publication.change) {
-			return fmt.Sprintf("leaves out %s, the latest of its key", publication.change.Position)
+			return fmt.Sprintf("leaves out %s, the latest change of its key", publication.change.Position)
 		}
 		k.skipped = append(k.skipped, publication)
 	}
@@ -194,13 +194,13 @@
 	return ""
 }
 
-// superseded tells whether a later change of the same key is published.
+// superseded reports whether a later change of the same key is published.
 func (c *checker) superseded(change Change) bool {
 	later := c.published[change.Kind][change.Position.Sequence:]
 	return slices.ContainsFunc(later, func(p publication) bool { return bytes.Equal(p.change.Key, change.Key) })
 }
 
-// beyondWindow returns "" where changes after a position are beyond the window, or the node is a newcomer.
+// beyondWindow returns "" if the changes after a position exceed the window or the node is new, otherwise a problem.
 func (c *checker) beyondWindow(kind Kind, at Position) string {
 	if behind := c.behind(kind, at); !at.IsZero() && behind <= c.kinds[kind].Window {
 		return fmt.Sprintf("is not needed: %d behind, the window is %d", behind, c.kinds[kind].Window)
@@ -213,7 +213,7 @@
 		return problem
 	}
 	if c.kinds[e.Kind].Stateful {
-		return "is not for a kind with a latest state"
+		return "is not allowed for a stateful kind"
 	}
 	if problem := c.beyondWindow(e.Kind, e.From); problem != "" {
 		return problem
@@ -223,19 +223,19 @@
 	return ""
 }
 
-// age takes the age that a node states.
+// age verifies that a node does not understate its age.
 func (c *checker) age(node string, stated, now time.Duration) {
 	missing, ok := c.oldestMissing(node)
 	if !ok {
 		return
 	}
 	if truth := now - missing.at; stated < truth {
-		c.fail("%s: %s states an age of %s, it lacks %s of kind %d since %s", now, node, stated,
+		c.fail("%s: %s reports an age of %s, but has lacked %s of kind %d for %s", now, node, stated,
 			missing.change.Position, missing.change.Kind, truth)
 	}
 }
 
-// oldestMissing returns the first published of the changes that a node lacks.
+// oldestMissing returns the publication, of those that a node lacks, that was published first.
 func (c *checker) oldestMissing(node string) (publication, bool) {
 	var oldest publication
 	found := false
@@ -260,7 +260,7 @@
 	return oldest, found
 }
 
-// current requires that a node has all that was published until a moment.
+// current requires that a node has all changes published up to a given time.
 func (c *checker) current(node string, until, now time.Duration) {
 	if missing, ok := c.oldestMissing(node); ok && missing.at <= until {
 		c.fail("%s: %s is not current: it lacks %s of kind %d, published at %s", now, node, missing.change.Position,
@@ -297,7 +297,7 @@
 	bytes int
 }
 
-// sent takes bytes that went out under a name, of which at most limit may in any second.
+// sent records bytes sent under a name and requires that they stay within limit in any second.
 func (c *checker) sent(name string, bytes, limit int, now time.Duration) {
 	window := c.traffic[name]
 	if window == nil {
@@ -311,6 +311,6 @@
 	window.sent = append(window.sent, sentBytes{at: now, bytes: bytes})
 	window.sum += bytes
 	if window.sum > limit {
-		c.fail("%s: %s: %d bytes within a second, the bound is %d", now, name, window.sum, limit)
+		c.fail("%s: %s: %d bytes within a second, the limit is %d", now, name, window.sum, limit)
 	}
 }
--- a/internal/feed/children.go
+++ b/internal/feed/children.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// childSilence is for how many times SilenceAfter a child may be silent before its connection is closed.
-const childSilence = 3
+// childSilenceFactor times Config.SilenceAfter is how long a child may be silent before its connection is closed.
+const childSilenceFactor = 3
 
-// child is a connection to a node that follows this one, or asks to.
+// child is an incoming connection from a node that follows this one or has yet to be accepted.
 type child struct {
 	peer PeerID
 	id   string
 	role Role
-	// greeted: its Hello was accepted. following: it is sent changes.
-	greeted, following bool
-	echo               Stamp
-	heard              time.Duration
-	// heartbeatDue: a Ping is still to be answered.
+	// accepted: its Hello was accepted. following: it receives changes.
+	accepted, following bool
+	echo                Stamp
+	lastHeard           time.Duration
+	// heartbeatDue: a Ping has not been answered yet.
 	heartbeatDue bool
 	budget       budget
-	// cursors are by kind.
+	// cursors holds one cursor per kind.
 	cursors []cursor
-	// served is when it was last sent changes.
-	served time.Duration
+	// lastServed is when changes were last sent to it.
+	lastServed time.Duration
 }
 
-// cursor is how far a child has come with all that was sent to it.
+// cursor is the position a child reaches with all that was sent to it, and its catch-up mode.
 type cursor struct {
 	position Position
-	// snapshot: the child is being sent the latest state. coarse: it gets sets of prefixes until it has caught up.
+	// snapshot: the child is receiving a snapshot. coarse: it receives prefix sets until it has caught up.
 	snapshot, coarse bool
 }
 
-// children is a node's side towards its children.
+// children is the state of a node's connections to its children.
 type children struct {
 	byPeer map[PeerID]*child
-	// inOrder is by when they connected.
-	inOrder []*child
-	total   budget
-	// pending: some child may have something to get in the next round, which is not before roundAt.
-	pending bool
-	roundAt time.Duration
-	// checkAt is when to look for silent children.
-	checkAt time.Duration
+	// ordered lists the children in the order in which they connected.
+	ordered     []*child
+	totalBudget budget
+	// pending: some child may be due something in the next round, which starts at nextRoundAt at the earliest.
+	pending     bool
+	nextRoundAt time.Duration
+	// silenceCheckAt is when to check for silent children.
+	silenceCheckAt time.Duration
 }
 
 func newChildren(config Config, now time.Duration) children {
 	return children{
-		byPeer:  make(map[PeerID]*child),
-		total:   newBoundBudget(config.TotalBytesPerSecond, now),
-		roundAt: now,
-		checkAt: now,
+		byPeer:         make(map[PeerID]*child),
+		totalBudget:    newPerSecondBudget(config.TotalBytesPerSecond, now),
+		nextRoundAt:    now,
+		silenceCheckAt: now,
 	}
 }
 
 func (c *children) remove(peer PeerID) {
 	delete(c.byPeer, peer)
-	c.inOrder = slices.DeleteFunc(c.inOrder, func(child *child) bool { return child.peer == peer })
+	c.ordered = slices.DeleteFunc(c.ordered, func(child *child) bool { return child.peer == peer })
 }
 
-// following counts the children that are sent changes.
+// following returns the number of children that receive changes.
 func (c *children) following() int {
 	count := 0
-	for _, child := range c.inOrder {
+	for _, child := range c.ordered {
 		if child.following {
 			count++
 		}
@@ -71,81 +71,84 @@
 	return count
 }
 
-// tickChildren does what is due towards the children.
+// tickChildren closes silent children and runs the next sending round if they are due.
 func (n *Node) tickChildren() {
 	c := &n.children
-	if n.now >= c.checkAt {
-		c.checkAt = n.now + n.config.HeartbeatEvery
-		n.dismissSilent()
+	if n.now >= c.silenceCheckAt {
+		c.silenceCheckAt = n.now + n.config.HeartbeatEvery
+		n.closeSilentChildren()
 	}
-	if c.pending && n.now >= c.roundAt {
-		c.roundAt = n.now + n.config.BatchEvery
+	if c.pending && n.now >= c.nextRoundAt {
+		c.nextRoundAt = n.now + n.config.BatchEvery
 		c.pending = n.serveRound()
 	}
 }
 
-// childrenTick returns when the next thing is due.
-func (n *Node) childrenTick() time.Duration {
+// nextChildrenTick returns when tickChildren next has work, or never.
+func (n *Node) nextChildrenTick() time.Duration {
 	c := &n.children
-	if len(c.inOrder) == 0 {
+	if len(c.ordered) == 0 {
 		return never
 	}
 	if c.pending {
-		return min(c.checkAt, c.roundAt)
+		return min(c.silenceCheckAt, c.nextRoundAt)
 	}
-	return c.checkAt
+	return c.silenceCheckAt
 }
 
-func (n *Node) dismissSilent() {
-	longest := childSilence * n.config.SilenceAfter
-	for _, child := range slices.Clone(n.children.inOrder) {
-		if n.now-child.heard >= longest {
-			n.dismiss(child, Goodbye{})
+// closeSilentChildren disconnects children from which nothing was heard for too long.
+func (n *Node) closeSilentChildren() {
+	timeout := childSilenceFactor * n.config.SilenceAfter
+	for _, child := range slices.Clone(n.children.ordered) {
+		if n.now-child.lastHeard >= timeout {
+			n.closeChild(child, Goodbye{})
 		}
 	}
 }
 
-func (n *Node) childOpened(peer PeerID) {
-	child := &child{peer: peer, heard: n.now}
+// addChild registers a new incoming connection.
+func (n *Node) addChild(peer PeerID) {
+	child := &child{peer: peer, lastHeard: n.now}
 	n.children.byPeer[peer] = child
-	n.children.inOrder = append(n.children.inOrder, child)
+	n.children.ordered = append(n.children.ordered, child)
 }
 
-// dismiss says a last word to a child and closes its connection, unless that has been done.
-func (n *Node) dismiss(child *child, last Message) {
+// closeChild sends a final message to a child and closes its connection. It does nothing if the child is already removed.
+func (n *Node) closeChild(child *child, last Message) {
 	if n.children.byPeer[child.peer] == nil {
 		return
 	}
 	n.send(child.peer, last, &n.counters.ToChildren)
-	n.close(child.peer)
+	n.closePeer(child.peer)
 	n.children.remove(child.peer)
 }
 
+// receiveFromChild handles a message from a child. An unexpected message closes the connection.
 func (n *Node) receiveFromChild(child *child, message Message) {
-	child.heard = n.now
+	child.lastHeard = n.now
 	switch m := message.(type) {
 	case Hello:
-		n.childGreeted(child, m)
+		n.receiveChildHello(child, m)
 	case Ping:
-		n.childPinged(child, m)
+		n.receivePing(child, m)
 	case Refused, Goodbye:
-		n.close(child.peer)
+		n.closePeer(child.peer)
 		n.children.remove(child.peer)
 	default:
-		n.dismiss(child, Goodbye{})
+		n.closeChild(child, Goodbye{})
 	}
 }
 
-// childGreeted takes a child's Hello: the first one, or one that asks anew.
-func (n *Node) childGreeted(child *child, hello Hello) {
-	if reason := n.refuseChild(child, hello); reason != 0 {
+// receiveChildHello handles a child's Hello: its first one, or a later one with which it resynchronizes.
+func (n *Node) receiveChildHello(child *child, hello Hello) {
+	if reason := n.childRefusalReason(child, hello); reason != 0 {
 		n.counters.Refused++
-		n.dismiss(child, Refused{Reason: reason})
+		n.closeChild(child, Refused{Reason: reason})
 		return
 	}
-	if !child.greeted {
+	if !child.accepted {
 		child.budget = n.childBudget(hello)
-		child.greeted = true
+		child.accepted = true
 		child.role = hello.Role
 		child.id = hello.ID
 	}
@@ -159,22 +162,22 @@
 	for i, position := range hello.Positions {
 		child.cursors[i].position = position
 	}
-	// It may have waited for long: it isn't to wait for the next round too.
+	// The child may be far behind: serve it at once instead of in the next round.
 	n.serveChild(child)
 	n.children.pending = true
 }
 
-// refuseChild returns why the sender of a Hello can't be a child, or zero. A publisher that learns of a higher epoch from it
-// is fenced.
-func (n *Node) refuseChild(child *child, hello Hello) RefusalReason {
+// childRefusalReason returns why the sender of a Hello is refused as a child, or zero. A higher epoch in the Hello fences a
+// publisher.
+func (n *Node) childRefusalReason(child *child, hello Hello) RefusalReason {
 	reason := n.mismatch(hello)
 	switch {
 	case reason != 0:
 		return reason
-	case !serves(n.config.Role, hello.Role):
+	case !canServe(n.config.Role, hello.Role):
 		return RefusedRole
 	}
-	n.raiseEpoch(hello.Epoch)
+	n.observeEpoch(hello.Epoch)
 	switch {
 	case n.fenced:
 		return RefusedEpoch
@@ -184,40 +187,41 @@
 	return 0
 }
 
-// childBudget returns the budget of a new child. It begins empty where the child has received something within the last
-// second, from this node or another, and with what an earlier connection of the same child has left.
+// childBudget returns the budget of a new child. It starts empty if the child received anything within the last second, from
+// this node or another, and with no more than what remains to earlier connections of the same child.
 func (n *Node) childBudget(hello Hello) budget {
-	b := newBoundBudget(n.config.RelayBytesPerSecond, n.now)
+	b := newPerSecondBudget(n.config.RelayBytesPerSecond, n.now)
 	if hello.Role == Subscriber {
 		b = newBudget(n.config.ChildBytesPerSecond, n.config.ChildBurst, n.now)
 	}
 	if hello.SinceReceived < time.Second {
 		b.tokens = 0
 	}
-	for _, earlier := range n.children.inOrder {
-		if earlier.greeted && earlier.id == hello.ID {
+	for _, earlier := range n.children.ordered {
+		if earlier.accepted && earlier.id == hello.ID {
 			b.tokens = min(b.tokens, float64(earlier.budget.available(n.now)))
 		}
 	}
 	return b
 }
 
-// answerHello may take the budgets below zero: what is sent next waits until that is made up for.
+// answerHello sends a Hello regardless of the budgets. An overdraft delays what is sent next.
 func (n *Node) answerHello(child *child) {
-	n.sendToChild(child, n.hello(child.echo, false))
+	n.sendToChild(child, n.newHello(child.echo, false))
 }
 
-func (n *Node) childPinged(child *child, ping Ping) {
+// receivePing answers a Ping, at once or when the budgets next allow it.
+func (n *Node) receivePing(child *child, ping Ping) {
 	if !child.following {
 		return
 	}
 	child.echo = ping.Stamp
 	child.heartbeatDue = true
-	n.answerPing(child)
+	n.sendHeartbeat(child)
 }
 
-// answerPing sends a Heartbeat if the budgets have room for it, else it stays due.
-func (n *Node) answerPing(child *child) {
+// sendHeartbeat answers a Ping if the budgets allow it; otherwise the heartbeat stays due.
+func (n *Node) sendHeartbeat(child *child) {
 	heartbeat := Heartbeat{
 		Epoch:     n.epoch,
 		Echo:      child.echo,
@@ -226,7 +230,7 @@
 		Positions: child.positions(),
 	}
 	size := len(Encode(heartbeat))
-	if size > min(child.budget.available(n.now), n.children.total.available(n.now)) {
+	if size > min(child.budget.available(n.now), n.children.totalBudget.available(n.now)) {
 		n.children.pending = true
 		return
 	}
@@ -234,10 +238,11 @@
 	n.sendToChild(child, heartbeat)
 }
 
+// sendToChild sends a message and deducts its size from the child's budget and the total budget.
 func (n *Node) sendToChild(child *child, message Message) {
 	size := n.send(child.peer, message, &n.counters.ToChildren)
 	child.budget.take(size)
-	n.children.total.take(size)
+	n.children.totalBudget.take(size)
 }
 
 func (c *child) positions() []Position {
@@ -248,22 +253,22 @@
 	return positions
 }
 
-// childAge returns how old a child's knowledge is with all that was sent to it.
+// childAge returns how old a child's data is once it has applied all that was sent to it.
 func (n *Node) childAge(child *child) time.Duration {
-	mark := n.currentWatermark()
+	result := n.currentWatermark()
 	for i := range child.cursors {
-		mark = mark.earlier(n.kinds[i].watermarkAt(child.cursors[i], mark))
+		result = result.earlier(n.kinds[i].watermarkAt(child.cursors[i], result))
 	}
-	return mark.age(n.now)
+	return result.age(n.now)
 }
 
-// watermarkAt returns the watermark of a child's knowledge of one kind, where the node's own is whole.
-func (l *kindLog) watermarkAt(at cursor, whole watermark) watermark {
+// watermarkAt returns the watermark of a child's data of one kind, given the node's own watermark.
+func (l *kindLog) watermarkAt(at cursor, own watermark) watermark {
 	switch {
 	case at.position.Compare(l.head) >= 0:
-		return whole
+		return own
 	case at.snapshot || !l.contains(at.position):
 		return watermark{}
 	}
-	return l.after(at.position)[0].knownBefore
+	return l.after(at.position)[0].watermarkBefore
 }
--- a/internal/feed/codec.go
+++ b/internal/feed/codec.go
@@ -9,24 +9,24 @@
 	"slices"
 )
 
-// A frame is the length of its payload as a varint, the payload, and the payload's CRC32C in four bytes. The payload is the
-// message's type in one byte and its fields.
+// A frame consists of the payload's length as a varint, the payload, and the payload's CRC-32C as four little-endian bytes.
+// The payload is a byte for the message type followed by the message's fields.
 
 const (
-	// DefaultFrameLimit is a limit on the length of a payload that every message of a node is under.
+	// DefaultFrameLimit is a limit on the payload length in bytes that no message of a node exceeds.
 	DefaultFrameLimit = 64 << 10
 
 	checksumLength = 4
-	// typicalFrame is the capacity that a frame's buffer starts with.
-	typicalFrame = 128
+	// initialFrameCapacity is the initial capacity of a frame's buffer in bytes.
+	initialFrameCapacity = 128
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns a message as one frame.
+// Encode returns a message encoded as one frame.
 func Encode(message Message) []byte {
-	// The length goes in front of a payload of unknown length: room for the longest is left, and the rest cut off.
-	e := encoder{buffer: make([]byte, binary.MaxVarintLen32, typicalFrame)}
+	// The length precedes a payload of unknown size: reserve space for the longest varint and trim what is unused.
+	e := encoder{buffer: make([]byte, binary.MaxVarintLen32, initialFrameCapacity)}
 	e.buffer = append(e.buffer, byte(message.messageType()))
 	encodeFields(&e, message)
 	payload := e.buffer[binary.MaxVarintLen32:]
@@ -37,29 +37,30 @@
 	return frame[start:]
 }
 
-// DecodeFrame returns the message of the frame at the head of data, and the frame's length. The message shares data's
-// memory. The error is io.ErrUnexpectedEOF where the frame isn't whole.
+// DecodeFrame decodes the frame at the start of data and returns its message and the frame's length in bytes. The message
+// shares memory with data. A payload longer than limit bytes gives ErrFrameTooLong, an incomplete frame
+// io.ErrUnexpectedEOF, and a corrupt one ErrChecksum or ErrMalformed.
 func DecodeFrame(data []byte, limit int) (Message, int, error) {
-	length, head := binary.Uvarint(data)
+	length, headerLength := binary.Uvarint(data)
 	switch {
-	case head == 0:
+	case headerLength == 0:
 		return nil, 0, io.ErrUnexpectedEOF
-	case head < 0 || length > uint64(limit):
+	case headerLength < 0 || length > uint64(limit):
 		return nil, 0, ErrFrameTooLong
 	}
-	end := head + int(length) + checksumLength
+	end := headerLength + int(length) + checksumLength
 	if len(data) < end {
 		return nil, 0, io.ErrUnexpectedEOF
 	}
-	message, err := decodePayload(data[head:end])
+	message, err := decodePayload(data[headerLength:end])
 	return message, end, err
 }
 
-// decodePayload takes a payload with its checksum behind it.
+// decodePayload decodes a payload that is followed by its checksum. It returns ErrChecksum or ErrMalformed if it is corrupt.
 func decodePayload(data []byte) (Message, error) {
 	payload := data[:len(data)-checksumLength]
-	sum := binary.LittleEndian.Uint32(data[len(payload):])
-	if sum != crc32.Checksum(payload, castagnoli) {
+	checksum := binary.LittleEndian.Uint32(data[len(payload):])
+	if checksum != crc32.Checksum(payload, castagnoli) {
 		return nil, ErrChecksum
 	}
 	if len(payload) == 0 {
@@ -79,13 +80,13 @@
 	limit  int
 }
 
-// NewDecoder returns a decoder that refuses payloads longer than limit.
+// NewDecoder returns a decoder that rejects payloads longer than limit bytes.
 func NewDecoder(reader io.Reader, limit int) *Decoder {
 	return &Decoder{reader: bufio.NewReader(reader), limit: limit}
 }
 
-// Decode returns the next message, or io.EOF at the end of the stream between two frames. After any error the stream can't
-// be read on.
+// Decode returns the next message, or io.EOF if the stream ends between two frames. After any error the decoder must not be
+// used again.
 func (d *Decoder) Decode() (Message, error) {
 	length, err := binary.ReadUvarint(d.reader)
 	if err != nil {
@@ -104,12 +105,12 @@
 	return decodePayload(data)
 }
 
-// encoder appends fields.
+// encoder appends encoded fields to a buffer.
 type encoder struct {
 	buffer []byte
 }
 
-func (e *encoder) number(value uint64) {
+func (e *encoder) uvarint(value uint64) {
 	e.buffer = binary.AppendUvarint(e.buffer, value)
 }
 
@@ -122,11 +123,12 @@
 }
 
 func (e *encoder) bytes(value []byte) {
-	e.number(uint64(len(value)))
+	e.uvarint(uint64(len(value)))
 	e.buffer = append(e.buffer, value...)
 }
 
-// decoder takes fields off the head of rest. After a field that can't be read it has failed, and returns zero values.
+// decoder consumes fields from the start of rest. After the first invalid field, failed is set and all further fields read
+// as zero values.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -137,7 +139,7 @@
 	d.rest = nil
 }
 
-func (d *decoder) number() uint64 {
+func (d *decoder) uvarint() uint64 {
 	value, length := binary.Uvarint(d.rest)
 	if length <= 0 {
 		d.fail()
@@ -147,9 +149,9 @@
 	return value
 }
 
-// count reads the number of items of which each takes at least itemBits in what is left.
+// count reads a number of items, and fails if the remaining data is too short for that many items of itemBits bits each.
 func (d *decoder) count(itemBits int) int {
-	value := d.number()
+	value := d.uvarint()
 	if value > uint64(len(d.rest))*8/uint64(itemBits) {
 		d.fail()
 		return 0
@@ -175,7 +177,7 @@
 	return value == 1
 }
 
-// take returns the next length bytes, nil where length is zero.
+// take returns the next length bytes, or nil if length is zero.
 func (d *decoder) take(length uint64) []byte {
 	if length > uint64(len(d.rest)) {
 		d.fail()
@@ -190,5 +192,5 @@
 }
 
 func (d *decoder) bytes() []byte {
-	return d.take(d.number())
+	return d.take(d.uvarint())
 }
--- a/internal/feed/codec_fields.go
+++ b/internal/feed/codec_fields.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxAgeMilliseconds is the largest age that a time.Duration holds, AgeUnknown apart.
+// maxAgeMilliseconds is the largest age other than AgeUnknown that fits a time.Duration.
 const maxAgeMilliseconds = uint64(math.MaxInt64/int64(time.Millisecond)) - 1
 
 func encodeFields(e *encoder, message Message) {
@@ -15,10 +15,10 @@
 	case Refused:
 		e.buffer = append(e.buffer, byte(m.Reason))
 	case Ping:
-		e.number(uint64(m.Stamp))
+		e.uvarint(uint64(m.Stamp))
 	case Heartbeat:
-		e.number(m.Epoch)
-		e.number(uint64(m.Echo))
+		e.uvarint(m.Epoch)
+		e.uvarint(uint64(m.Echo))
 		e.age(m.Age)
 		e.age(m.SourceAge)
 		e.positions(m.Positions)
@@ -30,13 +30,13 @@
 		encodeSnapshot(e, m)
 	case WindowReset:
 		e.span(m.Kind, m.From, m.To)
-		e.number(uint64(m.Echo))
+		e.uvarint(uint64(m.Echo))
 		e.age(m.Age)
 	case Goodbye:
 	}
 }
 
-// decodeFields returns nil for an unknown type.
+// decodeFields decodes the fields of a message. It returns nil for an unknown type.
 func decodeFields(d *decoder, kind messageType) Message {
 	switch kind {
 	case typeHello:
@@ -44,10 +44,10 @@
 	case typeRefused:
 		return Refused{Reason: RefusalReason(d.octet())}
 	case typePing:
-		return Ping{Stamp: Stamp(d.number())}
+		return Ping{Stamp: Stamp(d.uvarint())}
 	case typeHeartbeat:
 		return Heartbeat{
-			Epoch: d.number(), Echo: Stamp(d.number()), Age: d.age(), SourceAge: d.age(), Positions: d.positions(),
+			Epoch: d.uvarint(), Echo: Stamp(d.uvarint()), Age: d.age(), SourceAge: d.age(), Positions: d.positions(),
 		}
 	case typeBatch:
 		return decodeBatch(d)
@@ -58,7 +58,7 @@
 	case typeWindowReset:
 		m := WindowReset{}
 		m.Kind, m.From, m.To = d.span()
-		m.Echo, m.Age = Stamp(d.number()), d.age()
+		m.Echo, m.Age = Stamp(d.uvarint()), d.age()
 		return m
 	case typeGoodbye:
 		return Goodbye{}
@@ -67,14 +67,14 @@
 }
 
 func encodeHello(e *encoder, m Hello) {
-	e.number(m.Version)
+	e.uvarint(m.Version)
 	e.bytes([]byte(m.Cluster))
 	e.bytes([]byte(m.ID))
 	e.buffer = append(e.buffer, byte(m.Role))
-	e.number(uint64(m.KindsChecksum))
-	e.number(m.Epoch)
+	e.uvarint(uint64(m.KindsChecksum))
+	e.uvarint(m.Epoch)
 	e.flag(m.Probe)
-	e.number(uint64(m.Stamp))
+	e.uvarint(uint64(m.Stamp))
 	e.age(m.Age)
 	e.age(m.SinceReceived)
 	e.positions(m.Positions)
@@ -82,24 +82,24 @@
 
 func decodeHello(d *decoder) Message {
 	return Hello{
-		Version: d.number(), Cluster: d.name(), ID: d.name(), Role: Role(d.octet()), KindsChecksum: d.checksum(), Epoch: d.number(),
-		Probe: d.flag(), Stamp: Stamp(d.number()), Age: d.age(), SinceReceived: d.age(),
-		Positions: d.positions(),
+		Version: d.uvarint(), Cluster: d.name(), ID: d.name(), Role: Role(d.octet()),
+		KindsChecksum: d.checksum(), Epoch: d.uvarint(), Probe: d.flag(),
+		Stamp: Stamp(d.uvarint()), Age: d.age(), SinceReceived: d.age(), Positions: d.positions(),
 	}
 }
 
-// encodeBatch writes the length of keys and of values once where all have the same, as those of purges do.
+// encodeBatch writes the length of the keys, and of the values, only once if all are equal, as those of purges are.
 func encodeBatch(e *encoder, m Batch) {
 	e.buffer = append(e.buffer, byte(m.Kind))
 	e.position(m.From)
-	e.number(m.Epoch - m.From.Epoch)
-	e.number(uint64(m.Echo))
+	e.uvarint(m.Epoch - m.From.Epoch)
+	e.uvarint(uint64(m.Echo))
 	e.age(m.Age)
-	e.number(uint64(len(m.Changes)))
+	e.uvarint(uint64(len(m.Changes)))
 	keyLength := commonLength(m.Changes, Change.key)
 	valueLength := commonLength(m.Changes, Change.value)
-	e.number(keyLength)
-	e.number(valueLength)
+	e.uvarint(keyLength)
+	e.uvarint(valueLength)
 	for _, change := range m.Changes {
 		e.field(change.Key, keyLength)
 		e.field(change.Value, valueLength)
@@ -108,11 +108,11 @@
 
 func decodeBatch(d *decoder) Message {
 	m := Batch{Kind: Kind(d.octet()), From: d.position()}
-	m.Epoch = m.From.Epoch + d.number()
-	m.Echo, m.Age = Stamp(d.number()), d.age()
-	count := d.number()
-	keyLength, valueLength := d.number(), d.number()
-	// A key is at least one byte long.
+	m.Epoch = m.From.Epoch + d.uvarint()
+	m.Echo, m.Age = Stamp(d.uvarint()), d.age()
+	count := d.uvarint()
+	keyLength, valueLength := d.uvarint(), d.uvarint()
+	// Each key takes at least one byte.
 	if count > uint64(len(d.rest)) || m.Epoch < m.From.Epoch {
 		d.fail()
 		return m
@@ -121,7 +121,7 @@
 	for i := range m.Changes {
 		position := Position{Epoch: m.Epoch, Sequence: m.From.Sequence + uint64(i) + 1}
 		m.Changes[i] = Change{Kind: m.Kind, Position: position, Key: d.field(keyLength), Value: d.field(valueLength)}
-		d.requireKey(m.Changes[i].Key)
+		d.validateKey(m.Changes[i].Key)
 	}
 	return m
 }
@@ -129,7 +129,7 @@
 func (c Change) key() []byte   { return c.Key }
 func (c Change) value() []byte { return c.Value }
 
-// commonLength returns the length of a field plus one where it is the same in all changes, else zero.
+// commonLength returns one plus the length of a field if it is equal in all changes, otherwise zero.
 func commonLength(changes []Change, field func(Change) []byte) uint64 {
 	if len(changes) == 0 {
 		return 0
@@ -143,7 +143,7 @@
 	return uint64(length) + 1
 }
 
-// field writes a value with its length, unless that is common to all.
+// field writes a value, preceded by its length unless common (see commonLength) already gives it.
 func (e *encoder) field(value []byte, common uint64) {
 	if common == 0 {
 		e.bytes(value)
@@ -159,7 +159,8 @@
 	return d.take(common - 1)
 }
 
-func (d *decoder) requireKey(key []byte) {
+// validateKey fails if the length of a key is not within 1 to MaxKeyLength.
+func (d *decoder) validateKey(key []byte) {
 	if len(key) == 0 || len(key) > MaxKeyLength {
 		d.fail()
 	}
@@ -167,35 +168,35 @@
 
 func encodePrefixSet(e *encoder, m PrefixSet) {
 	e.span(m.Kind, m.From, m.To)
-	e.number(uint64(m.Echo))
+	e.uvarint(uint64(m.Echo))
 	e.age(m.Age)
 	e.buffer = append(e.buffer, byte(m.PrefixBits))
-	e.riceCoded(m.Prefixes)
+	e.ricePrefixes(m.Prefixes)
 }
 
 func decodePrefixSet(d *decoder) Message {
 	m := PrefixSet{}
 	m.Kind, m.From, m.To = d.span()
-	m.Echo, m.Age = Stamp(d.number()), d.age()
+	m.Echo, m.Age = Stamp(d.uvarint()), d.age()
 	m.PrefixBits = int(d.octet())
 	if m.PrefixBits < 1 || m.PrefixBits > maxPrefixBits {
 		d.fail()
 		return m
 	}
-	m.Prefixes = d.riceCoded(m.PrefixBits)
+	m.Prefixes = d.ricePrefixes(m.PrefixBits)
 	return m
 }
 
 func encodeSnapshot(e *encoder, m Snapshot) {
 	e.span(m.Kind, m.From, m.At)
-	e.number(uint64(m.Echo))
+	e.uvarint(uint64(m.Echo))
 	e.age(m.Age)
 	e.flag(m.Last)
 	e.position(m.CompleteAt)
-	e.number(uint64(len(m.Entries)))
+	e.uvarint(uint64(len(m.Entries)))
 	previous := m.From
 	for _, entry := range m.Entries {
-		e.step(previous, entry.Position)
+		e.positionDelta(previous, entry.Position)
 		e.bytes(entry.Key)
 		e.bytes(entry.Value)
 		previous = entry.Position
@@ -205,13 +206,13 @@
 func decodeSnapshot(d *decoder) Message {
 	m := Snapshot{}
 	m.Kind, m.From, m.At = d.span()
-	m.Echo, m.Age, m.Last, m.CompleteAt = Stamp(d.number()), d.age(), d.flag(), d.position()
-	const leastEntryBits = 5 * 8 // the step's two numbers, the two lengths, and one byte of key
-	count := d.count(leastEntryBits)
+	m.Echo, m.Age, m.Last, m.CompleteAt = Stamp(d.uvarint()), d.age(), d.flag(), d.position()
+	const minEntryBits = 5 * 8 // the step's two numbers, the two lengths, and one byte of key
+	count := d.count(minEntryBits)
 	previous := m.From
 	for range count {
-		entry := Change{Kind: m.Kind, Position: d.step(previous), Key: d.bytes(), Value: d.bytes()}
-		d.requireKey(entry.Key)
+		entry := Change{Kind: m.Kind, Position: d.positionDelta(previous), Key: d.bytes(), Value: d.bytes()}
+		d.validateKey(entry.Key)
 		m.Entries = append(m.Entries, entry)
 		previous = entry.Position
 	}
@@ -222,27 +223,27 @@
 }
 
 func (e *encoder) position(p Position) {
-	e.number(p.Epoch)
-	e.number(p.Sequence)
+	e.uvarint(p.Epoch)
+	e.uvarint(p.Sequence)
 }
 
 func (d *decoder) position() Position {
-	return Position{Epoch: d.number(), Sequence: d.number()}
+	return Position{Epoch: d.uvarint(), Sequence: d.uvarint()}
 }
 
-// step writes a position as its way from an earlier one.
-func (e *encoder) step(from, to Position) {
-	e.number(to.Epoch - from.Epoch)
+// positionDelta writes a position as the difference from an earlier one.
+func (e *encoder) positionDelta(from, to Position) {
+	e.uvarint(to.Epoch - from.Epoch)
 	if to.Epoch == from.Epoch {
-		e.number(to.Sequence - from.Sequence)
+		e.uvarint(to.Sequence - from.Sequence)
 		return
 	}
-	e.number(to.Sequence)
+	e.uvarint(to.Sequence)
 }
 
-// step reads a position that has to be later than from.
-func (d *decoder) step(from Position) Position {
-	epoch, sequence := d.number(), d.number()
+// positionDelta reads a position, which must be later than from.
+func (d *decoder) positionDelta(from Position) Position {
+	epoch, sequence := d.uvarint(), d.uvarint()
 	if epoch == 0 {
 		sequence += from.Sequence
 	}
@@ -253,29 +254,29 @@
 	return to
 }
 
-// span writes a kind and two positions of it, of which the second is later.
+// span writes a kind and two of its positions, the second one as a difference from the first.
 func (e *encoder) span(kind Kind, from, to Position) {
 	e.buffer = append(e.buffer, byte(kind))
 	e.position(from)
-	e.step(from, to)
+	e.positionDelta(from, to)
 }
 
 func (d *decoder) span() (Kind, Position, Position) {
 	kind := Kind(d.octet())
 	from := d.position()
-	return kind, from, d.step(from)
+	return kind, from, d.positionDelta(from)
 }
 
 func (e *encoder) positions(positions []Position) {
-	e.number(uint64(len(positions)))
+	e.uvarint(uint64(len(positions)))
 	for _, position := range positions {
 		e.position(position)
 	}
 }
 
 func (d *decoder) positions() []Position {
-	const leastPositionBits = 2 * 8
-	count := d.count(leastPositionBits)
+	const minPositionBits = 2 * 8
+	count := d.count(minPositionBits)
 	if count > maxKinds {
 		d.fail()
 		return nil
@@ -287,21 +288,21 @@
 	return positions
 }
 
-// age writes an age in milliseconds, rounded up, plus one. Zero stands for AgeUnknown.
+// age writes an age as one plus its milliseconds, rounded up. Zero stands for AgeUnknown.
 func (e *encoder) age(age time.Duration) {
 	if age == AgeUnknown {
-		e.number(0)
+		e.uvarint(0)
 		return
 	}
 	milliseconds := uint64(age / time.Millisecond)
 	if age%time.Millisecond > 0 {
 		milliseconds++
 	}
-	e.number(milliseconds + 1)
+	e.uvarint(milliseconds + 1)
 }
 
 func (d *decoder) age() time.Duration {
-	value := d.number()
+	value := d.uvarint()
 	if value == 0 {
 		return AgeUnknown
 	}
@@ -312,7 +313,7 @@
 	return time.Duration(value-1) * time.Millisecond
 }
 
-// name reads a string that is not longer than a name may be.
+// name reads a string of at most maxNameLength bytes.
 func (d *decoder) name() string {
 	value := d.bytes()
 	if len(value) > maxNameLength {
@@ -322,7 +323,7 @@
 }
 
 func (d *decoder) checksum() uint32 {
-	value := d.number()
+	value := d.uvarint()
 	if value > math.MaxUint32 {
 		d.fail()
 	}
--- a/internal/feed/codec_test.go
+++ b/internal/feed/codec_test.go
@@ -24,8 +24,8 @@
 	later := Position{Epoch: 4, Sequence: 1003}
 	return []Message{
 		Hello{
-			Version: Version, Cluster: "fleet", ID: "node-1", Role: Relay, KindsChecksum: 1 << 31, Epoch: 3, Probe: true, Stamp: 77,
-			Age: 5 * time.Millisecond, SinceReceived: time.Second, Positions: []Position{from, {}},
+			Version: Version, Cluster: "fleet", ID: "node-1", Role: Relay, KindsChecksum: 1 << 31, Epoch: 3, Probe: true,
+			Stamp: 77, Age: 5 * time.Millisecond, SinceReceived: time.Second, Positions: []Position{from, {}},
 		},
 		Hello{Version: Version, Cluster: "fleet", ID: "node-2", Role: Subscriber, Age: AgeUnknown},
 		Refused{Reason: RefusedFull},
@@ -68,11 +68,11 @@
 		}
 	}
 	if _, err := decoder.Decode(); !errors.Is(err, io.EOF) {
-		t.Errorf("the stream's end gave %v", err)
+		t.Errorf("end of the stream: error %v", err)
 	}
 }
 
-// withoutEmptySlices returns a message as it is decoded: an empty value is nil.
+// withoutEmptySlices returns a message as the decoder returns it: empty values are nil.
 func withoutEmptySlices(message Message) Message {
 	if snapshot, ok := message.(Snapshot); ok {
 		for i := range snapshot.Entries {
@@ -107,10 +107,10 @@
 	for _, message := range sampleMessages() {
 		frame := Encode(message)
 		for at := range frame[1:] {
-			spoilt := slices.Clone(frame)
-			spoilt[at+1] ^= 1 << (at % 8)
-			if got, _, err := DecodeFrame(spoilt, DefaultFrameLimit); !errors.Is(err, ErrChecksum) {
-				t.Errorf("byte %d of %T spoilt: got %v, %v", at+1, message, got, err)
+			corrupted := slices.Clone(frame)
+			corrupted[at+1] ^= 1 << (at % 8)
+			if got, _, err := DecodeFrame(corrupted, DefaultFrameLimit); !errors.Is(err, ErrChecksum) {
+				t.Errorf("byte %d of %T corrupted: got %v, %v", at+1, message, got, err)
 			}
 		}
 	}
@@ -130,10 +130,10 @@
 	}
 	endless := bytes.Repeat([]byte{0xff}, 2*binary.MaxVarintLen64)
 	if _, _, err := DecodeFrame(endless, DefaultFrameLimit); !errors.Is(err, ErrFrameTooLong) {
-		t.Errorf("an endless length gave %v", err)
+		t.Errorf("an unterminated length gave %v", err)
 	}
 	if _, err := NewDecoder(bytes.NewReader(endless), DefaultFrameLimit).Decode(); err == nil {
-		t.Error("the stream took an endless length")
+		t.Error("the stream accepted an unterminated length")
 	}
 }
 
@@ -147,9 +147,9 @@
 		slices.Sort(prefixes)
 		prefixes = slices.Compact(prefixes)
 		e := encoder{}
-		e.riceCoded(prefixes)
+		e.ricePrefixes(prefixes)
 		d := decoder{rest: e.buffer}
-		if got := d.riceCoded(prefixBits); !slices.Equal(got, prefixes) || len(d.rest) > 0 {
+		if got := d.ricePrefixes(prefixBits); !slices.Equal(got, prefixes) || len(d.rest) > 0 {
 			t.Errorf("%d prefixes came back as %d, %d bytes left", len(prefixes), len(got), len(d.rest))
 		}
 		if bytesEach := float64(len(e.buffer)) / float64(count); count >= 200 && bytesEach > 2.4 {
@@ -168,7 +168,7 @@
 			t.Fatalf("length %d of %d bytes", length, len(data))
 		}
 		if err != nil {
-			// Without a checksum, which hardly any input has, its fields may still be read.
+			// Hardly any fuzzed input has a valid checksum: decode the fields without it.
 			message = decodeFuzzed(data)
 		}
 		if message == nil {
--- a/internal/feed/config.go
+++ b/internal/feed/config.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Role is a node's part in the feed.
+// Role is a node's role in the feed.
 type Role uint8
 
-// The roles.
+// Roles of a node.
 const (
 	Publisher Role = iota + 1
 	Relay
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("role %d", uint8(r))
 }
 
-// Defaults of Config: they take the place of a zero field.
+// Defaults for the fields of Config that are zero.
 const (
 	DefaultMaxChildren         = 1024
 	DefaultBatchEvery          = 200 * time.Millisecond
@@ -51,62 +51,63 @@
 
 const (
 	maxKinds = 16
-	// changeOverhead is the most that a message with one change holds besides its key and value.
+	// changeOverhead bounds the bytes of a message with one change apart from its key and value.
 	changeOverhead = messageOverhead + entryOverhead + snapshotOverhead
-	// heartbeatReserve is kept in a child's budget for heartbeats and greetings: no change may take it.
+	// heartbeatReserve is the part of a child's budget, in bytes, that only heartbeats and Hellos may use.
 	heartbeatReserve = 120
-	// leastRelayBursts makes for a burst of the larger budgets in which a change fits beside what is reserved.
-	leastRelayBursts = 2 * burstShare
+	// minRelayBursts ensures that the bursts of the relay and total budgets fit a change next to the reserve.
+	minRelayBursts = 2 * burstShare
 )
 
-// Config is the configuration of a Node. A zero field with a Default constant takes that default.
+// Config configures a Node. A zero field for which there is a Default constant takes that default.
 type Config struct {
-	// Cluster has to be the same at both ends of a connection.
+	// Cluster must be equal at both ends of a connection.
 	Cluster string
 	// ID names the node in logs and status.
 	ID   string
 	Role Role
-	// Epoch orders publishers: each new one is started with a higher epoch than all before it. Publisher only.
+	// Epoch orders publishers: each new publisher needs a higher epoch than all before it. Publisher only.
 	Epoch uint64
-	// Kinds is the same list on all nodes.
+	// Kinds must be the same list on all nodes.
 	Kinds []KindConfig
-	// Parents are the addresses of parents by preference. A relay's are publishers alone.
+	// Parents lists the addresses of parents in order of preference. The parents of a relay are publishers.
 	Parents []string
-	// MaxChildren is how many children are served; more are refused and try their next parent.
+	// MaxChildren is how many children are served. Further ones are refused and try their next parent.
 	MaxChildren int
 
-	// BatchEvery is the least time between two rounds of sending changes to the children.
+	// BatchEvery is the minimum interval between two rounds of sending changes to the children.
 	BatchEvery time.Duration
-	// HeartbeatEvery is how often a child sends a Ping, which its parent answers with a Heartbeat.
+	// HeartbeatEvery is the interval at which a child sends a Ping, which its parent answers with a Heartbeat.
 	HeartbeatEvery time.Duration
-	// SilenceAfter is how long a parent may be silent before it is given up.
+	// SilenceAfter is how long a parent may be silent before its connection is closed.
 	SilenceAfter time.Duration
-	// DialTimeout is how long an attempt to connect may take.
+	// DialTimeout limits an attempt to connect.
 	DialTimeout time.Duration
-	// RetryMin and RetryMax bound the time from one attempt's start to the next: exponential with full jitter, and not before
-	// the attempt has failed. There are few relays, and many wait for each: their default is shorter.
+	// RetryMin and RetryMax bound the delay between the starts of two attempts, which grows exponentially with full jitter.
+	// The next attempt never starts before the previous one has failed. Relays have a shorter default for RetryMax, because
+	// many subscribers depend on each of them.
 	RetryMin, RetryMax time.Duration
-	// MaxAge is the age of knowledge beyond which it counts as stale.
+	// MaxAge is the age above which data counts as stale.
 	MaxAge time.Duration
-	// ReturnAfter and ReturnJitter say when a child looks whether its preferred parent is back: between ReturnAfter and
-	// ReturnAfter plus ReturnJitter after it took another one.
+	// ReturnAfter and ReturnJitter determine when a child that follows another parent checks whether its preferred parent is
+	// back: between ReturnAfter and ReturnAfter plus ReturnJitter after the change of parents.
 	ReturnAfter, ReturnJitter time.Duration
 
-	// ChildBytesPerSecond and ChildBurst are the budget of each subscriber: in any second it is sent at most their sum.
+	// ChildBytesPerSecond and ChildBurst are the budget of each subscriber: their sum is the maximum in any second.
 	ChildBytesPerSecond, ChildBurst int
-	// RelayBytesPerSecond is the most that one relay is sent in any second.
+	// RelayBytesPerSecond is the maximum sent to one relay in any second.
 	RelayBytesPerSecond int
-	// TotalBytesPerSecond is the most that all children together are sent in any second.
+	// TotalBytesPerSecond is the maximum sent to all children together in any second.
 	TotalBytesPerSecond int
-	// CoarseAfter is how many changes a subscriber may be behind on a kind without state before it gets sets of hash
-	// prefixes in place of keys.
+	// CoarseAfter is how many changes a subscriber may be behind on a kind without state before it receives sets of hash
+	// prefixes instead of keys.
 	CoarseAfter int
 
-	// Seed starts the generator of random waits. Nodes need different seeds.
+	// Seed seeds the generator of random delays. Each node needs a different seed.
 	Seed uint64
 }
 
-// withDefaults returns c with the defaults in the place of zero fields.
+// withDefaults returns c with zero fields replaced by their defaults.
 func (c Config) withDefaults() Config {
 	setDefault(&c.MaxChildren, DefaultMaxChildren)
 	setDefault(&c.BatchEvery, DefaultBatchEvery)
@@ -135,7 +136,8 @@
 	}
 }
 
-// kindsChecksum tells lists of kinds apart that nodes can't exchange changes with.
+// kindsChecksum returns a checksum over the names of the kinds and whether they are stateful. Nodes exchange changes only if
+// their checksums are equal.
 func (c Config) kindsChecksum() uint32 {
 	e := encoder{}
 	for _, kind := range c.Kinds {
@@ -145,7 +147,7 @@
 	return crc32.Checksum(e.buffer, castagnoli)
 }
 
-// Validate returns a *ConfigError for the first field that can't be used, or nil.
+// Validate returns a *ConfigError for the first invalid field, or nil.
 func (c Config) Validate() error {
 	c = c.withDefaults()
 	checks := []func(Config) error{
@@ -159,37 +161,38 @@
 	return nil
 }
 
-func invalid(field, format string, arguments ...any) error {
+// newConfigError returns a *ConfigError for a field, with a formatted description of the problem.
+func newConfigError(field, format string, arguments ...any) error {
 	return &ConfigError{Field: field, Problem: fmt.Sprintf(format, arguments...)}
 }
 
 func checkIdentity(c Config) error {
 	switch {
 	case c.Cluster == "" || len(c.Cluster) > maxNameLength:
-		return invalid("Cluster", "has to be 1 to %d bytes long", maxNameLength)
+		return newConfigError("Cluster", "has to be 1 to %d bytes long", maxNameLength)
 	case c.ID == "" || len(c.ID) > maxNameLength:
-		return invalid("ID", "has to be 1 to %d bytes long", maxNameLength)
+		return newConfigError("ID", "has to be 1 to %d bytes long", maxNameLength)
 	case c.Role < Publisher || c.Role > Subscriber:
-		return invalid("Role", "%s is none of publisher, relay and subscriber", c.Role)
+		return newConfigError("Role", "%s is none of publisher, relay and subscriber", c.Role)
 	case c.Role == Publisher && c.Epoch == 0:
-		return invalid("Epoch", "a publisher needs an epoch of 1 or more")
+		return newConfigError("Epoch", "a publisher needs an epoch of 1 or more")
 	case c.Role != Publisher && c.Epoch != 0:
-		return invalid("Epoch", "only a publisher has an epoch")
+		return newConfigError("Epoch", "only a publisher has an epoch")
 	}
 	return nil
 }
 
 func checkParents(c Config) error {
 	if c.Role == Publisher && len(c.Parents) > 0 {
-		return invalid("Parents", "a publisher has no parents")
+		return newConfigError("Parents", "a publisher has no parents")
 	}
 	if c.Role != Publisher && len(c.Parents) == 0 {
-		return invalid("Parents", "a %s needs at least one", c.Role)
+		return newConfigError("Parents", "a %s needs at least one", c.Role)
 	}
 	seen := make(map[string]bool)
 	for i, address := range c.Parents {
 		if address == "" || seen[address] {
-			return invalid(fmt.Sprintf("Parents[%d]", i), "is empty or given twice")
+			return newConfigError(fmt.Sprintf("Parents[%d]", i), "is empty or given twice")
 		}
 		seen[address] = true
 	}
@@ -207,17 +210,17 @@
 	}
 	for _, duration := range durations {
 		if duration.value < time.Millisecond {
-			return invalid(duration.field, "has to be 1ms or more")
+			return newConfigError(duration.field, "has to be 1ms or more")
 		}
 	}
 	if c.SilenceAfter < 2*c.HeartbeatEvery {
-		return invalid("SilenceAfter", "has to be at least twice HeartbeatEvery (%s)", c.HeartbeatEvery)
+		return newConfigError("SilenceAfter", "has to be at least twice HeartbeatEvery (%s)", c.HeartbeatEvery)
 	}
 	if c.RetryMax < c.RetryMin {
-		return invalid("RetryMax", "is less than RetryMin (%s)", c.RetryMin)
+		return newConfigError("RetryMax", "is less than RetryMin (%s)", c.RetryMin)
 	}
 	if c.MaxAge < 2*c.HeartbeatEvery {
-		return invalid("MaxAge", "has to be at least twice HeartbeatEvery (%s)", c.HeartbeatEvery)
+		return newConfigError("MaxAge", "has to be at least twice HeartbeatEvery (%s)", c.HeartbeatEvery)
 	}
 	return nil
 }
@@ -225,35 +228,36 @@
 func checkBudgets(c Config) error {
 	switch {
 	case c.MaxChildren < 1:
-		return invalid("MaxChildren", "has to be 1 or more")
+		return newConfigError("MaxChildren", "has to be 1 or more")
 	case c.CoarseAfter < 1:
-		return invalid("CoarseAfter", "has to be 1 or more")
+		return newConfigError("CoarseAfter", "has to be 1 or more")
 	case c.ChildBurst < minBurst:
-		return invalid("ChildBurst", "has to be %d bytes or more", minBurst)
+		return newConfigError("ChildBurst", "has to be %d bytes or more", minBurst)
 	case c.ChildBytesPerSecond < c.ChildBurst:
-		return invalid("ChildBytesPerSecond", "is less than ChildBurst (%d)", c.ChildBurst)
-	case c.RelayBytesPerSecond < leastRelayBursts*c.ChildBurst:
-		return invalid("RelayBytesPerSecond", "has to be at least %d times ChildBurst (%d)", leastRelayBursts, c.ChildBurst)
+		return newConfigError("ChildBytesPerSecond", "is less than ChildBurst (%d)", c.ChildBurst)
+	case c.RelayBytesPerSecond < minRelayBursts*c.ChildBurst:
+		return newConfigError("RelayBytesPerSecond", "has to be at least %d times ChildBurst (%d)", minRelayBursts, c.ChildBurst)
 	case c.TotalBytesPerSecond < c.RelayBytesPerSecond:
-		return invalid("TotalBytesPerSecond", "is less than RelayBytesPerSecond (%d)", c.RelayBytesPerSecond)
+		return newConfigError("TotalBytesPerSecond", "is less than RelayBytesPerSecond (%d)", c.RelayBytesPerSecond)
 	}
 	return nil
 }
 
 func checkKinds(c Config) error {
 	if len(c.Kinds) == 0 || len(c.Kinds) > maxKinds {
-		return invalid("Kinds", "has to name 1 to %d kinds", maxKinds)
+		return newConfigError("Kinds", "has to name 1 to %d kinds", maxKinds)
 	}
 	largest := c.ChildBurst - heartbeatReserve - changeOverhead - MaxKeyLength
 	for i, kind := range c.Kinds {
 		field := fmt.Sprintf("Kinds[%d]", i)
 		switch {
 		case kind.Name == "":
-			return invalid(field+".Name", "is empty")
+			return newConfigError(field+".Name", "is empty")
 		case kind.Window < 1:
-			return invalid(field+".Window", "has to be 1 or more")
+			return newConfigError(field+".Window", "has to be 1 or more")
 		case kind.MaxValue < 0 || kind.MaxValue > largest:
-			return invalid(field+".MaxValue", "has to be 0 to %d, so that a change fits ChildBurst (%d)", largest, c.ChildBurst)
+			return newConfigError(field+".MaxValue", "has to be 0 to %d, so that a change fits ChildBurst (%d)", largest,
+				c.ChildBurst)
 		}
 	}
 	return nil
--- a/internal/feed/config_test.go
+++ b/internal/feed/config_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// subscriberConfig returns a configuration that is valid.
+// subscriberConfig returns a valid configuration.
 func subscriberConfig() Config {
 	config := planConfig(3000)
 	config.ID, config.Role, config.Parents = "node", Subscriber, []string{"a", "b"}
@@ -20,10 +20,10 @@
 	return config
 }
 
-func TestConfigNamesTheFieldThatIsWrong(t *testing.T) {
+func TestConfigErrorNamesTheInvalidField(t *testing.T) {
 	tests := []struct {
-		field string
-		spoil func(*Config)
+		field   string
+		corrupt func(*Config)
 	}{
 		{"Cluster", func(c *Config) { c.Cluster = "" }},
 		{"Cluster", func(c *Config) { c.Cluster = strings.Repeat("x", maxNameLength+1) }},
@@ -53,11 +53,11 @@
 	}
 	for _, test := range tests {
 		config := subscriberConfig()
-		test.spoil(&config)
+		test.corrupt(&config)
 		_, err := NewNode(config, nil, 0)
 		var wrong *ConfigError
 		if !errors.As(err, &wrong) || wrong.Field != test.field || !strings.Contains(err.Error(), test.field) {
-			t.Errorf("%s spoilt: %v", test.field, err)
+			t.Errorf("invalid %s: %v", test.field, err)
 		}
 	}
 	if err := subscriberConfig().Validate(); err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestNewNodeRefusesChangesThatDoNotFit(t *testing.T) {
+func TestNewNodeRefusesInvalidSavedChanges(t *testing.T) {
 	tests := []struct {
 		name  string
 		saved []Change
@@ -91,11 +91,11 @@
 		t.Errorf("a change of a higher epoch: %v", err)
 	}
 	if _, err := NewNode(subscriberConfig(), []Change{testChange(0, 1, 1)}, 0); !errors.Is(err, ErrNotPublisher) {
-		t.Errorf("a subscriber with kept changes: %v", err)
+		t.Errorf("a subscriber with saved changes: %v", err)
 	}
 }
 
-func TestPublishRefusesWhatItCannotTake(t *testing.T) {
+func TestPublishRefusesInvalidChanges(t *testing.T) {
 	publisher, err := NewNode(publisherConfig(), nil, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/feed/errors.go
+++ b/internal/feed/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of Publish.
+// Errors returned by Publish. NewNode returns ErrNotPublisher if it is given saved changes for another role.
 var (
 	ErrNotPublisher = errors.New("feed: only the publisher can publish")
 	ErrFenced       = errors.New("feed: a publisher with a higher epoch has been seen")
@@ -14,14 +14,14 @@
 	ErrValueLength  = errors.New("feed: value is longer than its kind allows")
 )
 
-// Errors of decoding.
+// Errors returned when decoding frames.
 var (
-	ErrFrameTooLong = errors.New("feed: frame is longer than the limit")
-	ErrChecksum     = errors.New("feed: frame has a wrong checksum")
-	ErrMalformed    = errors.New("feed: frame can't be read")
+	ErrFrameTooLong = errors.New("feed: frame exceeds the length limit")
+	ErrChecksum     = errors.New("feed: frame checksum mismatch")
+	ErrMalformed    = errors.New("feed: malformed frame")
 )
 
-// ConfigError is a field of Config that can't be used as it stands.
+// ConfigError describes an invalid field of Config.
 type ConfigError struct {
 	Field   string
 	Problem string
@@ -32,13 +32,13 @@
 	return fmt.Sprintf("feed: %s: %s", e.Field, e.Problem)
 }
 
-// SavedChangeError is a kept record that doesn't fit the ones before it.
+// SavedChangeError describes a saved change that is invalid or out of order.
 type SavedChangeError struct {
 	Change  Change
 	Problem string
 }
 
-// Error returns the record's place and what is wrong with it.
+// Error returns the position and kind of the change and what is wrong with it.
 func (e *SavedChangeError) Error() string {
 	return fmt.Sprintf("feed: saved change %s of kind %d: %s", e.Change.Position, e.Change.Kind, e.Problem)
 }
--- a/internal/feed/greeting.go
+++ b/internal/feed/greeting.go
@@ -1,15 +1,15 @@
 package feed
 
-// receiveFromParent takes a message from the parent or from a candidate.
+// receiveFromParent handles a message from the parent or the candidate.
 func (n *Node) receiveFromParent(link *link, message Message) {
-	link.heard = n.now
-	n.upstream.received = watermark{known: true, at: n.now}
+	link.lastHeard = n.now
+	n.upstream.lastReceived = watermark{known: true, at: n.now}
 	switch m := message.(type) {
 	case Refused, Goodbye:
-		n.endLink(link, Goodbye{})
-		n.linkGone(link)
+		n.closeLink(link, Goodbye{})
+		n.handleLinkClosed(link)
 	case Hello:
-		n.parentGreeted(link, m)
+		n.receiveParentHello(link, m)
 	case Heartbeat:
 		n.receiveHeartbeat(link, m)
 	default:
@@ -17,9 +17,9 @@
 	}
 }
 
-// parentGreeted takes a parent's Hello: the first one, or one that answers another Hello of this node.
-func (n *Node) parentGreeted(link *link, hello Hello) {
-	if reason := n.refuseParent(hello); reason != 0 {
+// receiveParentHello handles a parent's Hello: its first one, or the answer to a later Hello of this node.
+func (n *Node) receiveParentHello(link *link, hello Hello) {
+	if reason := n.parentRefusalReason(hello); reason != 0 {
 		n.refuseLink(link, reason)
 		return
 	}
@@ -33,28 +33,28 @@
 		n.follow(link)
 		return
 	}
-	if !n.isBetter(link) {
-		n.endLink(link, Goodbye{})
-		n.candidateGone(link)
+	if !n.isBetterParent(link) {
+		n.closeLink(link, Goodbye{})
+		n.handleCandidateClosed(link)
 		return
 	}
-	n.endLink(n.upstream.parent, Goodbye{})
+	n.closeLink(n.upstream.parent, Goodbye{})
 	n.follow(link)
 }
 
-// isBetter tells whether to leave the parent for a candidate.
-func (n *Node) isBetter(candidate *link) bool {
+// isBetterParent reports whether to leave the current parent for a candidate.
+func (n *Node) isBetterParent(candidate *link) bool {
 	preferred := candidate.index < n.upstream.parent.index
-	return !candidate.sourceStale && (preferred || n.parentIsStuck())
+	return !candidate.sourceStale && (preferred || n.isParentStuck())
 }
 
-// refuseParent returns why the sender of a Hello can't be a parent, or zero.
-func (n *Node) refuseParent(hello Hello) RefusalReason {
+// parentRefusalReason returns why the sender of a Hello is refused as a parent, or zero.
+func (n *Node) parentRefusalReason(hello Hello) RefusalReason {
 	reason := n.mismatch(hello)
 	switch {
 	case reason != 0:
 		return reason
-	case !serves(hello.Role, n.config.Role):
+	case !canServe(hello.Role, n.config.Role):
 		return RefusedRole
 	case hello.Epoch < n.epoch:
 		return RefusedEpoch
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// mismatch returns why the sender of a Hello can be neither parent nor child, or zero.
+// mismatch returns why a Hello is incompatible with this node regardless of roles, or zero.
 func (n *Node) mismatch(hello Hello) RefusalReason {
 	switch {
 	case hello.Version != Version:
@@ -75,8 +75,9 @@
 	return 0
 }
 
-// serves tells whether a parent of one role may have a child of another: the depth is two, and there are no loops.
-func serves(parent, child Role) bool {
+// canServe reports whether a node with the role parent may serve a node with the role child. The tree has at most two levels
+// below the publisher and no loops.
+func canServe(parent, child Role) bool {
 	switch parent {
 	case Publisher:
 		return child == Relay || child == Subscriber
@@ -86,9 +87,10 @@
 	return false
 }
 
+// refuseLink closes a connection to a parent with a reason and schedules the next attempt.
 func (n *Node) refuseLink(link *link, reason RefusalReason) {
-	n.endLink(link, Refused{Reason: reason})
-	n.linkGone(link)
+	n.closeLink(link, Refused{Reason: reason})
+	n.handleLinkClosed(link)
 }
 
 // follow makes a candidate the parent.
@@ -97,27 +99,28 @@
 	u.candidate = nil
 	u.parent = link
 	u.dialAt = never
-	u.next = n.nextIndex(link.index)
+	u.nextAddress = n.nextIndex(link.index)
 	u.returnAt = never
 	u.pingAt = n.now + jitter(n.random, n.config.HeartbeatEvery)
 	link.state = linkFollowing
-	link.changed = n.now
-	n.raiseEpoch(link.epoch)
-	n.planReturn()
-	if link.probed {
+	link.lastChanged = n.now
+	n.observeEpoch(link.epoch)
+	n.scheduleReturn()
+	if link.isProbe {
 		n.sendHello(link, false)
 		return
 	}
 	n.resumeAfterHello(link)
 }
 
+// resumeAfterHello accepts messages from the parent again, once it has answered this node's Hello.
 func (n *Node) resumeAfterHello(link *link) {
 	link.awaitsHello = false
-	n.raiseEpoch(link.epoch)
-	n.planSearch()
+	n.observeEpoch(link.epoch)
+	n.scheduleSearch()
 }
 
-// receiveHeartbeat takes a parent's sign of life.
+// receiveHeartbeat handles a parent's answer to a Ping.
 func (n *Node) receiveHeartbeat(link *link, m Heartbeat) {
 	if link.state != linkFollowing || link.awaitsHello {
 		return
@@ -127,20 +130,20 @@
 		return
 	}
 	link.epoch = m.Epoch
-	n.raiseEpoch(m.Epoch)
+	n.observeEpoch(m.Epoch)
 	link.sourceStale = m.SourceAge > n.config.MaxAge
-	n.upstream.retry.reset()
-	n.planSearch()
-	if !n.isAt(m.Positions) {
-		n.helloAgain(link)
+	n.upstream.retryBackoff.reset()
+	n.scheduleSearch()
+	if !n.hasReached(m.Positions) {
+		n.resync(link)
 		return
 	}
-	n.learn(m.Echo, m.Age)
+	n.updateWatermark(m.Echo, m.Age)
 }
 
-// isAt tells whether the node has come as far as its parent takes it to have, or further: then what the parent says of the
-// age of that knowledge holds.
-func (n *Node) isAt(positions []Position) bool {
+// hasReached reports whether the node is at or past the positions that its parent assumes, so that the age stated by the
+// parent holds for the node's data.
+func (n *Node) hasReached(positions []Position) bool {
 	if len(positions) != len(n.kinds) {
 		return false
 	}
@@ -152,8 +155,8 @@
 	return true
 }
 
-// helloAgain asks the parent to go on from this node's positions, after a message that doesn't fit them.
-func (n *Node) helloAgain(link *link) {
+// resync asks the parent to continue from this node's positions, after a message that does not follow them.
+func (n *Node) resync(link *link) {
 	n.counters.Resyncs++
 	n.sendHello(link, false)
 }
--- a/internal/feed/growth_test.go
+++ b/internal/feed/growth_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// fleetTraffic is what a fleet's nodes have sent each other.
+// fleetTraffic is the traffic between all nodes of a fleet.
 type fleetTraffic struct {
 	subscribers     int
 	messages, bytes float64
 }
 
-// measureFleet counts all messages of a fleet in which changes go on while a relay dies and comes back.
+// measureFleet counts all messages of a fleet with ongoing changes while a relay fails and recovers and a region is cut off.
 func measureFleet(t *testing.T, subscribers int) fleetTraffic {
 	t.Helper()
 	p := plan{
@@ -38,7 +38,7 @@
 }
 
 func TestTrafficGrowsLinearly(t *testing.T) {
-	// The fleets differ in what they draw at random: so much may go the one way or the other.
+	// Fleets of different sizes draw different random numbers: allow for that variation.
 	const tolerance = 1.05
 	var fleets []fleetTraffic
 	for _, subscribers := range []int{50, 100, 200, 400} {
@@ -52,15 +52,15 @@
 		added := float64(fleet.subscribers - smaller.subscribers)
 		messages := (fleet.messages - smaller.messages) / added
 		bytes := (fleet.bytes - smaller.bytes) / added
-		t.Logf("%d to %d subscribers: %.0f messages and %.0f bytes more for each", smaller.subscribers,
+		t.Logf("%d to %d subscribers: %.0f messages and %.0f bytes per added subscriber", smaller.subscribers,
 			fleet.subscribers, messages, bytes)
 		if i > 0 && (messages > messagesAdded*tolerance || bytes > bytesAdded*tolerance) {
-			t.Errorf("each subscriber from %d to %d adds more than each did before: %.0f messages after %.0f, %.0f bytes after %.0f",
+			t.Errorf("traffic per added subscriber rises from %d to %d: %.0f messages after %.0f, %.0f bytes after %.0f",
 				smaller.subscribers, fleet.subscribers, messages, messagesAdded, bytes, bytesAdded)
 		}
 		messagesAdded, bytesAdded = messages, bytes
 		if each := fleet.bytes / float64(fleet.subscribers); each > perSubscriber*tolerance {
-			t.Errorf("%d subscribers: %.0f bytes for each, with %d it was %.0f", fleet.subscribers, each,
+			t.Errorf("%d subscribers: %.0f bytes each, with %d subscribers it was %.0f", fleet.subscribers, each,
 				first.subscribers, perSubscriber)
 		}
 	}
--- a/internal/feed/log.go
+++ b/internal/feed/log.go
@@ -5,44 +5,45 @@
 	"sort"
 )
 
-// record is a change in a log.
+// record is a change within the window of a log.
 type record struct {
 	change Change
-	// knownBefore is the node's watermark as it was without this change and all later ones.
-	knownBefore watermark
+	// watermarkBefore is the node's watermark without this change and all later ones.
+	watermarkBefore watermark
 }
 
-// kindLog holds what a node knows of one kind: its position and, unless the node is a subscriber, the window of the latest
+// kindLog holds a node's data of one kind: its position and, unless the node is a subscriber, the window of the most recent
 // changes without a gap and the latest change of each key.
 type kindLog struct {
 	config KindConfig
-	// keeps is false where the position alone is kept.
-	keeps bool
-	head  Position
-	// wholeAt is the position from which on all that was passed is known, after a snapshot that left out changes whose
-	// successors it hadn't come to yet.
-	wholeAt Position
-	// base is the position before the first record. baseChange is the change there, if the node had it: a publisher
-	// keeps it on disk, so that it knows the base after a restart.
+	// storesChanges is false if only the position is stored.
+	storesChanges bool
+	head          Position
+	// completeAt is the position from which on nothing is missing. It is ahead of head while a snapshot has left out changes
+	// that are superseded by changes still to come.
+	completeAt Position
+	// base is the position before the first record. baseChange is the change at that position, if known: a publisher
+	// persists it so that it can restore base after a restart.
 	base       Position
 	baseChange Change
 	records    []record
 	latest     latestState
 }
 
-func newKindLog(config KindConfig, keeps bool) kindLog {
-	log := kindLog{config: config, keeps: keeps}
+// newKindLog returns an empty log. Without storesChanges it holds only the position.
+func newKindLog(config KindConfig, storesChanges bool) kindLog {
+	log := kindLog{config: config, storesChanges: storesChanges}
 	log.latest.byKey = make(map[string]Change)
 	return log
 }
 
-// append takes the change that follows head.
-func (l *kindLog) append(change Change, knownBefore watermark) {
+// append adds the change that follows head.
+func (l *kindLog) append(change Change, watermarkBefore watermark) {
 	l.head = change.Position
-	if !l.keeps {
+	if !l.storesChanges {
 		return
 	}
-	l.records = append(l.records, record{change: change, knownBefore: knownBefore})
+	l.records = append(l.records, record{change: change, watermarkBefore: watermarkBefore})
 	if l.config.Stateful {
 		l.latest.set(change)
 	}
@@ -51,38 +52,39 @@
 	}
 }
 
+// dropOldest removes the first record of the window, which becomes its base.
 func (l *kindLog) dropOldest() {
 	l.baseChange = l.records[0].change
 	l.base = l.baseChange.Position
-	// The array is kept until append outgrows it: it shall not hold on to the key and value.
+	// The backing array lives until append replaces it: clear the slot to release the key and value.
 	l.records[0] = record{}
 	l.records = l.records[1:]
 }
 
-// restart moves head forward over changes that the node doesn't get one by one: the window is empty then.
-func (l *kindLog) restart(at Position) {
+// resetTo moves head forward over changes that are not received individually. It empties the window.
+func (l *kindLog) resetTo(at Position) {
 	l.head = at
 	l.base = at
 	l.baseChange = Change{}
 	l.records = nil
 }
 
-// applySnapshot takes a part of a snapshot that ends at a position.
+// applySnapshot applies one part of a snapshot that ends at a position.
 func (l *kindLog) applySnapshot(entries []Change, at Position) {
-	if l.keeps && l.config.Stateful {
+	if l.storesChanges && l.config.Stateful {
 		for _, entry := range entries {
 			l.latest.set(entry)
 		}
 	}
-	l.restart(at)
+	l.resetTo(at)
 }
 
-// isWhole tells whether all changes up to head are known, or later ones of the same keys.
-func (l *kindLog) isWhole() bool {
-	return l.head.Compare(l.wholeAt) >= 0
+// isComplete reports whether each change up to head is known, or a later change of the same key.
+func (l *kindLog) isComplete() bool {
+	return l.head.Compare(l.completeAt) >= 0
 }
 
-// load takes kept changes whose positions rise. Where there is a gap, what came before it is no part of the window.
+// load adds a saved change. Positions must increase; after a gap the window starts anew.
 func (l *kindLog) load(change Change) {
 	follows := change.Position.Sequence == l.head.Sequence+1
 	if follows {
@@ -93,7 +95,7 @@
 	l.baseChange = change
 }
 
-// contains tells whether p is the base or the position of a record: a child there can be served exactly.
+// contains reports whether p is the base or the position of a record, so that a child at p can be served change by change.
 func (l *kindLog) contains(p Position) bool {
 	if p == l.base {
 		return true
@@ -102,7 +104,7 @@
 	return index > 0 && l.records[index-1].change.Position == p
 }
 
-// index returns where the records after p's sequence begin, or -1 where that is out of the window.
+// index returns the index of the first record after p's sequence, or -1 if p's sequence is outside the window.
 func (l *kindLog) index(p Position) int {
 	if p.Sequence < l.base.Sequence || p.Sequence-l.base.Sequence > uint64(len(l.records)) {
 		return -1
@@ -110,12 +112,12 @@
 	return int(p.Sequence - l.base.Sequence)
 }
 
-// after returns the records that follow p, which is contained.
+// after returns the records that follow p, which must be contained in the window.
 func (l *kindLog) after(p Position) []record {
 	return l.records[l.index(p):]
 }
 
-// firstContainedAfter returns the earliest contained position that is later than p, which is earlier than head.
+// firstContainedAfter returns the earliest contained position later than p, which must be earlier than head.
 func (l *kindLog) firstContainedAfter(p Position) Position {
 	if l.base.Compare(p) > 0 {
 		return l.base
@@ -126,7 +128,7 @@
 	return l.records[index].change.Position
 }
 
-// retained returns what a publisher has to keep: the window with its base, and the latest change of each key.
+// retained returns the changes that a publisher must persist: the window with its base, and the latest change of each key.
 func (l *kindLog) retained() []Change {
 	var changes []Change
 	for _, change := range l.latest.after(Position{}) {
@@ -146,7 +148,7 @@
 // latestState holds the latest change of each key.
 type latestState struct {
 	byKey map[string]Change
-	// ordered holds the same by position. It is nil where it has to be made anew.
+	// ordered holds the changes sorted by position, or nil if they must be sorted again.
 	ordered []Change
 }
 
@@ -155,7 +157,7 @@
 	s.ordered = nil
 }
 
-// after returns the changes later than p by position.
+// after returns the changes later than p, in the order of their positions.
 func (s *latestState) after(p Position) []Change {
 	if s.ordered == nil {
 		s.ordered = make([]Change, 0, len(s.byKey))
--- a/internal/feed/log_test.go
+++ b/internal/feed/log_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testChange returns a change whose key is made from its sequence, so that keys return after every ten.
+// testChange returns a change whose key repeats every ten sequence numbers.
 func testChange(kind Kind, epoch, sequence uint64) Change {
 	return Change{
 		Kind:     kind,
@@ -16,7 +16,7 @@
 	}
 }
 
-// filledLog returns a log with a window of 5 and changes 1 to 12, from 7 on of epoch 2.
+// filledLog returns a log with a window of 5 that holds changes 1 to 12, of epoch 2 from change 7 on.
 func filledLog(latest bool) kindLog {
 	log := newKindLog(KindConfig{Name: "test", Stateful: latest, Window: 5}, true)
 	for sequence := uint64(1); sequence <= 12; sequence++ {
@@ -48,31 +48,31 @@
 	}
 }
 
-func TestLogFindsWhereToGoOn(t *testing.T) {
+func TestFirstContainedAfter(t *testing.T) {
 	log := filledLog(false)
 	for from, wanted := range map[Position]Position{{}: {2, 7}, {1, 100}: {2, 7}, {2, 7}: {2, 8}, {2, 10}: {2, 11}} {
 		if got := log.firstContainedAfter(from); got != wanted {
-			t.Errorf("first contained after %s is %s, not %s", from, got, wanted)
+			t.Errorf("first contained after %s: %s, want %s", from, got, wanted)
 		}
 	}
 }
 
-func TestLatestStateIsInOrder(t *testing.T) {
+func TestLatestStateIsOrderedByPosition(t *testing.T) {
 	log := filledLog(true)
 	var got []uint64
 	for _, change := range log.latest.after(Position{1, 4}) {
 		got = append(got, change.Position.Sequence)
 	}
-	// The keys of 1 and 2 have come again as 11 and 12.
+	// Changes 11 and 12 have superseded changes 1 and 2.
 	if wanted := "[5 6 7 8 9 10 11 12]"; fmt.Sprint(got) != wanted {
-		t.Errorf("latest after 1/4: %v, not %s", got, wanted)
+		t.Errorf("latest after 1/4: %v, want %s", got, wanted)
 	}
 	if count := len(log.latest.after(Position{})); count != 10 {
-		t.Errorf("%d keys, not 10", count)
+		t.Errorf("%d keys, want 10", count)
 	}
 }
 
-func TestRetainedChangesMakeTheSameLog(t *testing.T) {
+func TestRetainedChangesRestoreTheLog(t *testing.T) {
 	for _, latest := range []bool{false, true} {
 		log := filledLog(latest)
 		again := newKindLog(log.config, true)
@@ -84,15 +84,15 @@
 				len(again.records), log.base, log.head, len(log.records))
 		}
 		if got, wanted := len(again.latest.byKey), len(log.latest.byKey); got != wanted {
-			t.Errorf("latest %t: %d keys, not %d", latest, got, wanted)
+			t.Errorf("latest %t: %d keys, want %d", latest, got, wanted)
 		}
-		if age := again.records[0].knownBefore.age(0); age != AgeUnknown {
-			t.Errorf("latest %t: a kept change has age %s", latest, age)
+		if age := again.records[0].watermarkBefore.age(0); age != AgeUnknown {
+			t.Errorf("latest %t: a restored change has age %s", latest, age)
 		}
 	}
 }
 
-func TestSubscriberLogKeepsThePositionAlone(t *testing.T) {
+func TestSubscriberLogStoresOnlyThePosition(t *testing.T) {
 	log := newKindLog(KindConfig{Stateful: true, Window: 5}, false)
 	log.append(testChange(0, 1, 1), watermark{})
 	log.applySnapshot([]Change{testChange(0, 1, 2)}, Position{1, 3})
--- a/internal/feed/message.go
+++ b/internal/feed/message.go
@@ -5,52 +5,51 @@
 	"time"
 )
 
-// Version is the version of the messages. Both ends have to speak the same.
+// Version is the protocol version. It must be equal at both ends of a connection.
 const Version = 1
 
-// AgeUnknown is the age of knowledge that has never been complete.
+// AgeUnknown is the age of data that has never been complete.
 const AgeUnknown time.Duration = 1<<63 - 1
 
-// maxNameLength bounds a cluster's name and a node's ID.
+// maxNameLength bounds the cluster name and the node ID, in bytes.
 const maxNameLength = 64
 
-// Message is what nodes send each other: Hello, Refused, Ping, Heartbeat, Batch, PrefixSet, Snapshot, WindowReset or
-// Goodbye.
+// Message is a message between nodes: Hello, Refused, Ping, Heartbeat, Batch, PrefixSet, Snapshot, WindowReset or Goodbye.
 type Message interface {
 	messageType() messageType
 }
 
-// Hello opens a connection, from both ends: the child's first, then the parent's that accepts it. A child that lost the
-// thread says Hello again on the same connection, and is served from its positions on.
+// Hello opens a connection. The child sends it first, and a parent that accepts the child answers with its own. A child that
+// receives a message out of sequence sends another Hello on the same connection and is served from its positions on.
 type Hello struct {
 	Version uint64
 	Cluster string
 	ID      string
 	Role    Role
-	// Kinds is a checksum of the kinds' names and sorts, see Config.Kinds.
+	// KindsChecksum is a checksum over the names and types of Config.Kinds.
 	KindsChecksum uint32
-	// Epoch is the highest that the sender has seen.
+	// Epoch is the highest epoch the sender has seen.
 	Epoch uint64
-	// Probe: the child wants the parent's Hello alone for now, no changes.
+	// Probe: the child requests only the parent's Hello and no changes for now.
 	Probe bool
-	// Stamp is the child's time stamp, see Ping. A parent's Hello echoes it.
+	// Stamp is the child's timestamp, see Ping. The parent's Hello echoes it.
 	Stamp Stamp
-	// Age is how old the sender's own knowledge is.
+	// Age is the age of the sender's own data.
 	Age time.Duration
-	// SinceReceived is how long ago a child last received anything from a parent, AgeUnknown if it never has: one that
-	// received nothing for a second may be sent a full burst.
+	// SinceReceived is how long ago a child last received anything from any parent, or AgeUnknown if it never has. After one
+	// second a child may again be sent a full burst.
 	SinceReceived time.Duration
-	// Positions are the sender's by kind.
+	// Positions holds the sender's position in each kind.
 	Positions []Position
 }
 
-// Stamp is a child's time in milliseconds plus one on its own steady clock. Zero stands for none.
+// Stamp is a timestamp of a child: milliseconds on its own monotonic clock, plus one. Zero means none.
 type Stamp uint64
 
-// RefusalReason says why a connection is refused.
+// RefusalReason is the reason for refusing a connection.
 type RefusalReason uint8
 
-// The reasons of a refusal.
+// Reasons for refusing a connection.
 const (
 	RefusedVersion RefusalReason = iota + 1
 	RefusedCluster
@@ -60,7 +59,7 @@
 	RefusedEpoch
 )
 
-// String returns the reason in words.
+// String returns a description of the reason.
 func (r RefusalReason) String() string {
 	switch r {
 	case RefusedVersion:
@@ -79,55 +78,55 @@
 	return fmt.Sprintf("reason %d", uint8(r))
 }
 
-// Refused ends a connection that its sender doesn't want.
+// Refused closes a connection and states why its sender rejects the peer.
 type Refused struct {
 	Reason RefusalReason
 }
 
-// Ping is a child's sign of life. Its parent answers with a Heartbeat.
+// Ping is sent by a child at regular intervals. Its parent answers with a Heartbeat.
 type Ping struct {
 	Stamp Stamp
 }
 
-// Heartbeat answers a Ping.
+// Heartbeat is a parent's answer to a Ping.
 type Heartbeat struct {
-	// Epoch is the highest that the parent has seen.
+	// Epoch is the highest epoch the parent has seen.
 	Epoch uint64
-	// Echo is the latest stamp that the parent had of this child.
+	// Echo is the latest timestamp received from this child.
 	Echo Stamp
-	// Age is how old the child's knowledge is with all that was sent to it.
+	// Age is how old the child's data is once it has applied all that was sent to it.
 	Age time.Duration
-	// SourceAge is how old the parent's own knowledge is.
+	// SourceAge is the age of the parent's own data.
 	SourceAge time.Duration
-	// Positions are those that the child has come to with all that was sent to it.
+	// Positions holds the positions that the child reaches with all that was sent to it.
 	Positions []Position
 }
 
-// Batch brings changes of one kind without a gap: the first one's sequence follows that of From.
+// Batch carries consecutive changes of one kind: the sequence of the first one follows that of From.
 type Batch struct {
 	Kind Kind
 	From Position
-	// Epoch is that of all changes in the batch.
+	// Epoch is the epoch of all changes in the batch.
 	Epoch uint64
 	Echo  Stamp
-	// Age is how old the child's knowledge is once this message is applied.
+	// Age is how old the child's data is once this message is applied.
 	Age     time.Duration
 	Changes []Change
 }
 
-// PrefixSet brings the changes of one kind between two positions as the set of their keys' prefixes.
+// PrefixSet replaces the changes of one kind between two positions by the set of their keys' prefixes.
 type PrefixSet struct {
 	Kind       Kind
 	From, To   Position
 	Echo       Stamp
 	Age        time.Duration
 	PrefixBits int
-	// Prefixes are distinct and rise.
+	// Prefixes are distinct and in increasing order.
 	Prefixes []uint64
 }
 
-// Snapshot brings a part of the latest state of a kind: the latest changes of their keys between From and At, in the order
-// of their positions. Changes that were superseded are left out.
+// Snapshot carries a part of the latest state of a kind: the changes between From and At that are the latest of their keys,
+// in the order of their positions. Superseded changes are left out.
 type Snapshot struct {
 	Kind     Kind
 	From, At Position
@@ -136,12 +135,12 @@
 	Entries  []Change
 	// Last: At is the end of the snapshot.
 	Last bool
-	// WholeAt is the position from which on the child has all that it has passed: what superseded the changes left out is
-	// at WholeAt at the latest.
+	// CompleteAt is the position from which on the child misses nothing: the changes that supersede those left out are at
+	// CompleteAt at the latest.
 	CompleteAt Position
 }
 
-// WindowReset tells a child that the changes between two positions are not to be had anymore.
+// WindowReset tells a child that the changes between two positions are no longer available.
 type WindowReset struct {
 	Kind     Kind
 	From, To Position
@@ -149,10 +148,10 @@
 	Age      time.Duration
 }
 
-// Goodbye ends a connection in good order.
+// Goodbye announces an orderly end of a connection.
 type Goodbye struct{}
 
-// messageType is a message's first byte on the wire.
+// messageType is the first byte of a message on the wire.
 type messageType uint8
 
 const (
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// never is a time that doesn't come.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// seedStream keeps the generator's sequence apart from those of other packages with the same seed.
+// seedStream separates the generator's sequence from those of other packages with the same seed.
 const seedStream = 0x66656564
 
-// Node is one node of the feed. It is not safe for use by several goroutines at a time.
+// Node is one node of the feed. It is not safe for concurrent use.
 type Node struct {
 	config Config
 	now    time.Duration
 	random *rand.Rand
 	kinds  []kindLog
-	// epoch is the highest seen. A publisher that has seen a higher one than its own is fenced.
+	// epoch is the highest epoch seen. A publisher that sees a higher one than its own is fenced.
 	epoch  uint64
 	fenced bool
-	// known is the watermark of a relay's or a subscriber's knowledge, see currentWatermark.
-	known watermark
-	fresh bool
-	left  bool
+	// watermark is that of a relay's or subscriber's data; see currentWatermark.
+	watermark watermark
+	fresh     bool
+	hasLeft   bool
 
 	upstream upstream
 	children children
@@ -33,8 +33,9 @@
 	counters Counters
 }
 
-// NewNode returns a node. A publisher is given the changes that it has kept, see Retained; by kind, their positions rise.
-// Others keep nothing.
+// NewNode returns a node. A publisher passes the changes it has persisted (see Retained), with increasing positions within
+// each kind; other roles pass none. now is the time on the clock that Tick uses. The error is a *ConfigError, a
+// *SavedChangeError, or ErrNotPublisher.
 func NewNode(config Config, saved []Change, now time.Duration) (*Node, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -57,61 +58,63 @@
 	return n, nil
 }
 
-// load takes the changes that a publisher has kept.
+// load adds the changes that a publisher has persisted.
 func (n *Node) load(saved []Change) error {
 	if len(saved) > 0 && n.config.Role != Publisher {
 		return ErrNotPublisher
 	}
 	for _, change := range saved {
 		if int(change.Kind) >= len(n.kinds) {
-			return &SavedChangeError{Change: change, Problem: "the kind isn't configured"}
+			return &SavedChangeError{Change: change, Problem: "the kind is not configured"}
 		}
 		log := &n.kinds[change.Kind]
 		if change.Position.Compare(log.head) <= 0 || change.Position.Sequence <= log.head.Sequence {
-			return &SavedChangeError{Change: change, Problem: "is not later than the one before it, at " + log.head.String()}
+			return &SavedChangeError{Change: change, Problem: "its position is not after the previous one, " + log.head.String()}
 		}
 		if change.Position.Epoch > n.config.Epoch {
-			return invalid("Epoch", "%d is lower than that of the changes kept, %d", n.config.Epoch, change.Position.Epoch)
+			return newConfigError("Epoch", "%d is lower than the epoch of the saved changes, %d", n.config.Epoch,
+				change.Position.Epoch)
 		}
 		log.load(change)
 	}
 	return nil
 }
 
-// Tick tells the node the time on a steady clock that also counts while the process is stopped. It has to be called before
-// each round of other calls, with a time read after the messages of the round were: else the age of knowledge could be
-// understated.
+// Tick passes the current time to the node. The clock must be monotonic and keep running while the process is suspended.
+// Call Tick before each round of other calls, with a time read after the messages of that round were received: otherwise
+// the age of the data may be understated.
 func (n *Node) Tick(now time.Duration) {
 	if now < n.now {
 		return
 	}
-	if n.left {
+	if n.hasLeft {
 		n.now = now
 		return
 	}
-	late := now - n.NextTick()
+	suspended := now - n.NextTick()
 	n.now = now
-	if late > n.config.HeartbeatEvery {
-		// It is this node that was stopped. Others may have spoken meanwhile: what they said is still to be read.
-		n.forgiveSilence(late)
+	if suspended > n.config.HeartbeatEvery {
+		// This node was suspended, not its peers: their messages may still be waiting to be read.
+		n.shiftLastHeard(suspended)
 	}
 	n.tickUpstream()
 	n.tickChildren()
-	n.checkAge()
+	n.updateFreshness()
 }
 
-// NextTick returns when Tick is to be called at the latest.
+// NextTick returns the latest time at which Tick must be called next.
 func (n *Node) NextTick() time.Duration {
-	if n.left {
+	if n.hasLeft {
 		return never
 	}
-	next := min(n.upstreamTick(), n.childrenTick(), n.ageTick())
+	next := min(n.nextUpstreamTick(), n.nextChildrenTick(), n.staleAt())
 	return max(next, n.now)
 }
 
-// Publish gives a change the next position of its kind. It counts as published once it is kept, see Output.Keep.
+// Publish assigns the next position of a kind to a change and returns it. The change counts as published once it is
+// persisted, see Output.Persist. The error is ErrNotPublisher, ErrFenced, ErrUnknownKind, ErrKeyLength or ErrValueLength.
 func (n *Node) Publish(kind Kind, key, value []byte) (Position, error) {
-	if err := n.checkPublish(kind, key, value); err != nil {
+	if err := n.validatePublish(kind, key, value); err != nil {
 		return Position{}, err
 	}
 	log := &n.kinds[kind]
@@ -127,7 +130,8 @@
 	return change.Position, nil
 }
 
-func (n *Node) checkPublish(kind Kind, key, value []byte) error {
+// validatePublish returns the error with which Publish refuses a change, or nil.
+func (n *Node) validatePublish(kind Kind, key, value []byte) error {
 	switch {
 	case n.config.Role != Publisher:
 		return ErrNotPublisher
@@ -145,19 +149,19 @@
 	return nil
 }
 
-// PeerOpened tells of a new connection. dialled: it is the one to Output.Dial.
-func (n *Node) PeerOpened(peer PeerID, dialled bool) {
+// PeerOpened reports a new connection. dialed is true for the connection requested by Output.Dial.
+func (n *Node) PeerOpened(peer PeerID, dialed bool) {
 	switch {
-	case n.left:
-		n.close(peer)
-	case dialled:
-		n.parentOpened(peer)
+	case n.hasLeft:
+		n.closePeer(peer)
+	case dialed:
+		n.greetParent(peer)
 	default:
-		n.childOpened(peer)
+		n.addChild(peer)
 	}
 }
 
-// Receive takes a message from a peer. The node keeps what the message holds.
+// Receive handles a message from a peer. The node retains the memory of the message.
 func (n *Node) Receive(peer PeerID, message Message) {
 	if link := n.upstream.link(peer); link != nil {
 		n.counters.FromParents.add(len(Encode(message)))
@@ -170,34 +174,34 @@
 	}
 }
 
-// PeerLost tells that a connection has ended.
+// PeerLost reports that a connection has ended.
 func (n *Node) PeerLost(peer PeerID) {
 	if link := n.upstream.link(peer); link != nil {
-		n.parentLost(link)
+		n.handleLinkLost(link)
 		return
 	}
 	n.children.remove(peer)
 }
 
-// Leave says goodbye to all peers and closes their connections, before the process ends.
+// Leave sends Goodbye to all peers and closes their connections. It is called before the process exits.
 func (n *Node) Leave() {
-	n.left = true
+	n.hasLeft = true
 	for _, link := range n.upstream.links() {
-		n.endLink(link, Goodbye{})
+		n.closeLink(link, Goodbye{})
 	}
-	for _, child := range slices.Clone(n.children.inOrder) {
-		n.dismiss(child, Goodbye{})
+	for _, child := range slices.Clone(n.children.ordered) {
+		n.closeChild(child, Goodbye{})
 	}
 }
 
-// TakeOutput returns what there is to do, and forgets it.
+// TakeOutput returns the pending output and clears it.
 func (n *Node) TakeOutput() Output {
 	output := n.output
 	n.output = Output{}
 	return output
 }
 
-// Status returns the node's state.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	status := Status{
 		Role:      n.config.Role,
@@ -215,8 +219,8 @@
 	return status
 }
 
-// Retained returns the changes that a publisher has to keep, in an order that NewNode takes: a durable log may be cut down
-// to them.
+// Retained returns the changes that a publisher must persist, in an order that NewNode accepts. A durable log may be
+// compacted to them.
 func (n *Node) Retained() []Change {
 	var changes []Change
 	for i := range n.kinds {
@@ -233,7 +237,7 @@
 	return positions
 }
 
-// send encodes a message and puts it out. It returns the frame's length.
+// send encodes a message and adds it to the output. It returns the frame's length in bytes.
 func (n *Node) send(peer PeerID, message Message, traffic *Traffic) int {
 	frame := Encode(message)
 	n.output.Send = append(n.output.Send, Envelope{Peer: peer, Message: message, Frame: frame})
@@ -241,7 +245,8 @@
 	return len(frame)
 }
 
-func (n *Node) close(peer PeerID) {
+// closePeer adds a connection to the output's list of connections to close.
+func (n *Node) closePeer(peer PeerID) {
 	n.output.Close = append(n.output.Close, peer)
 }
 
@@ -249,12 +254,12 @@
 	n.output.Events = append(n.output.Events, event)
 }
 
-// forgiveSilence moves the times at which others were last heard by the time for which this node was stopped.
-func (n *Node) forgiveSilence(late time.Duration) {
+// shiftLastHeard postpones the silence timeouts of all peers by the time for which this node was suspended.
+func (n *Node) shiftLastHeard(suspended time.Duration) {
 	for _, link := range n.upstream.links() {
-		link.heard += late
+		link.lastHeard += suspended
 	}
-	for _, child := range n.children.inOrder {
-		child.heard += late
+	for _, child := range n.children.ordered {
+		child.lastHeard += suspended
 	}
 }
--- a/internal/feed/node_test.go
+++ b/internal/feed/node_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The peers by which nodes that are tested alone know the others.
+// Peer IDs for nodes that are tested in isolation.
 const (
 	parentPeer PeerID = 1
 	otherPeer  PeerID = 2
@@ -23,15 +23,15 @@
 	return node
 }
 
-// greeting returns the Hello of a parent of the same cluster.
-func greeting(config Config, role Role, epoch uint64, age time.Duration) Hello {
+// newTestHello returns a valid Hello of a node of the same cluster.
+func newTestHello(config Config, role Role, epoch uint64, age time.Duration) Hello {
 	return Hello{
 		Version: Version, Cluster: config.Cluster, ID: "parent", Role: role, KindsChecksum: config.kindsChecksum(), Epoch: epoch,
 		Age: age, Positions: make([]Position, len(config.Kinds)),
 	}
 }
 
-// followingNode returns a node with a parent of epoch 5 at a time of one second.
+// followingNode returns a node that follows a parent of epoch 5, at time 1s.
 func followingNode(t *testing.T, config Config) *Node {
 	t.Helper()
 	node := mustNode(t, config, nil)
@@ -40,15 +40,15 @@
 		t.Fatalf("dials %q", output.Dial)
 	}
 	node.PeerOpened(parentPeer, true)
-	node.Receive(parentPeer, greeting(config, Publisher, 5, 0))
+	node.Receive(parentPeer, newTestHello(config, Publisher, 5, 0))
 	if !node.Status().Connected {
-		t.Fatal("doesn't follow its parent")
+		t.Fatal("not connected to its parent")
 	}
 	node.TakeOutput()
 	return node
 }
 
-// sentTo returns the messages to a peer.
+// sentTo returns the messages sent to a peer.
 func sentTo(output Output, peer PeerID) []Message {
 	var messages []Message
 	for _, envelope := range output.Send {
@@ -88,11 +88,11 @@
 		t.Errorf("applied %v", got)
 	}
 	if len(output.Send) > 0 {
-		t.Errorf("answers a repetition with %v", output.Send)
+		t.Errorf("sent %v in answer to duplicates", output.Send)
 	}
 }
 
-func TestMessagesThatDoNotFitAreAskedForAnew(t *testing.T) {
+func TestMessagesOutOfSequenceCauseAResync(t *testing.T) {
 	gap := Position{5, 7}
 	to := Position{5, 9}
 	messages := []Message{
@@ -110,7 +110,7 @@
 	for _, message := range messages {
 		node := followingNode(t, subscriberConfig())
 		node.Receive(parentPeer, message)
-		// What comes until the parent has answered is dropped.
+		// Messages are ignored until the parent has answered.
 		node.Receive(parentPeer, purgeBatch(Position{}, 5, 1))
 		output := node.TakeOutput()
 		if len(output.Events) > 0 {
@@ -120,7 +120,7 @@
 		if hello, ok := sent[0].(Hello); len(sent) != 1 || !ok || hello.Probe {
 			t.Errorf("%T: sent %v", message, sent)
 		}
-		node.Receive(parentPeer, greeting(subscriberConfig(), Publisher, 5, 0))
+		node.Receive(parentPeer, newTestHello(subscriberConfig(), Publisher, 5, 0))
 		node.Receive(parentPeer, purgeBatch(Position{}, 5, 1))
 		if got := appliedSequences(node.TakeOutput().Events); len(got) != 1 {
 			t.Errorf("%T: %v applied after another Hello", message, got)
@@ -128,21 +128,21 @@
 	}
 }
 
-func TestRelayRefusesSetsOfPrefixes(t *testing.T) {
+func TestRelayRefusesPrefixSets(t *testing.T) {
 	config := subscriberConfig()
 	config.Role = Relay
 	node := followingNode(t, config)
 	node.Receive(parentPeer, PrefixSet{Kind: 1, To: Position{5, 1}, PrefixBits: prefixBits, Prefixes: []uint64{1}})
 	if output := node.TakeOutput(); len(output.Events) > 0 || node.Status().Counters.Resyncs != 1 {
-		t.Errorf("took %v", output.Events)
+		t.Errorf("accepted a prefix set: events %v", output.Events)
 	}
 }
 
-func TestParentsThatDoNotFitAreRefused(t *testing.T) {
+func TestIncompatibleParentsAreRefused(t *testing.T) {
 	config := subscriberConfig()
 	tests := []struct {
-		wanted RefusalReason
-		spoil  func(*Hello)
+		wanted  RefusalReason
+		corrupt func(*Hello)
 	}{
 		{RefusedVersion, func(h *Hello) { h.Version++ }},
 		{RefusedCluster, func(h *Hello) { h.Cluster = "other" }},
@@ -154,8 +154,8 @@
 		node := mustNode(t, config, nil)
 		node.Tick(0)
 		node.PeerOpened(parentPeer, true)
-		hello := greeting(config, Relay, 1, 0)
-		test.spoil(&hello)
+		hello := newTestHello(config, Relay, 1, 0)
+		test.corrupt(&hello)
 		node.TakeOutput()
 		node.Receive(parentPeer, hello)
 		output := node.TakeOutput()
@@ -172,14 +172,14 @@
 	}
 }
 
-func TestChildrenThatDoNotFitAreRefused(t *testing.T) {
+func TestIncompatibleChildrenAreRefused(t *testing.T) {
 	publisher, relay := publisherConfig(), subscriberConfig()
 	relay.Role = Relay
 	tests := []struct {
-		name   string
-		config Config
-		wanted RefusalReason
-		spoil  func(*Hello)
+		name    string
+		config  Config
+		wanted  RefusalReason
+		corrupt func(*Hello)
 	}{
 		{"version", publisher, RefusedVersion, func(h *Hello) { h.Version++ }},
 		{"cluster", publisher, RefusedCluster, func(h *Hello) { h.Cluster = "other" }},
@@ -192,8 +192,8 @@
 	for _, test := range tests {
 		node := mustNode(t, test.config, nil)
 		node.PeerOpened(otherPeer, false)
-		hello := greeting(test.config, Subscriber, 1, AgeUnknown)
-		test.spoil(&hello)
+		hello := newTestHello(test.config, Subscriber, 1, AgeUnknown)
+		test.corrupt(&hello)
 		node.Receive(otherPeer, hello)
 		output := node.TakeOutput()
 		if sent := sentTo(output, otherPeer); !reflect.DeepEqual(sent, []Message{Refused{test.wanted}}) {
@@ -205,13 +205,13 @@
 	}
 }
 
-func TestMaxChildrenAreServed(t *testing.T) {
+func TestMaxChildrenIsEnforced(t *testing.T) {
 	config := publisherConfig()
 	config.MaxChildren = 2
 	node := mustNode(t, config, nil)
 	for peer := range PeerID(3) {
 		node.PeerOpened(peer, false)
-		node.Receive(peer, greeting(config, Subscriber, 0, AgeUnknown))
+		node.Receive(peer, newTestHello(config, Subscriber, 0, AgeUnknown))
 	}
 	output := node.TakeOutput()
 	if sent := sentTo(output, 2); !reflect.DeepEqual(sent, []Message{Refused{RefusedFull}}) {
@@ -220,11 +220,11 @@
 	if status := node.Status(); status.Children != 2 || status.Counters.Refused != 1 {
 		t.Errorf("%d children, %d refused", status.Children, status.Counters.Refused)
 	}
-	// A child that asks anew is none more, and one that leaves makes room.
-	node.Receive(1, greeting(config, Subscriber, 0, AgeUnknown))
+	// Another Hello of the same child does not count as a new child, and a child that leaves frees its place.
+	node.Receive(1, newTestHello(config, Subscriber, 0, AgeUnknown))
 	node.PeerLost(0)
 	node.PeerOpened(3, false)
-	node.Receive(3, greeting(config, Subscriber, 0, AgeUnknown))
+	node.Receive(3, newTestHello(config, Subscriber, 0, AgeUnknown))
 	if status := node.Status(); status.Children != 2 || status.Counters.Refused != 1 {
 		t.Errorf("%d children, %d refused after a change", status.Children, status.Counters.Refused)
 	}
@@ -234,10 +234,10 @@
 	config := publisherConfig()
 	node := mustNode(t, config, nil)
 	node.PeerOpened(parentPeer, false)
-	node.Receive(parentPeer, greeting(config, Subscriber, 1, AgeUnknown))
+	node.Receive(parentPeer, newTestHello(config, Subscriber, 1, AgeUnknown))
 	node.PeerOpened(otherPeer, false)
 	node.TakeOutput()
-	node.Receive(otherPeer, greeting(config, Relay, 2, AgeUnknown))
+	node.Receive(otherPeer, newTestHello(config, Relay, 2, AgeUnknown))
 	if sent := sentTo(node.TakeOutput(), parentPeer); !reflect.DeepEqual(sent, []Message{Refused{RefusedEpoch}}) {
 		t.Errorf("its child gets %v", sent)
 	}
@@ -257,7 +257,7 @@
 		node.Tick(3 * time.Second)
 		node.PeerOpened(otherPeer, true)
 		node.TakeOutput()
-		node.Receive(otherPeer, greeting(config, Relay, 4, 0))
+		node.Receive(otherPeer, newTestHello(config, Relay, 4, 0))
 		if sent := sentTo(node.TakeOutput(), otherPeer); !reflect.DeepEqual(sent, []Message{Refused{RefusedEpoch}}) {
 			t.Errorf("sent %v", sent)
 		}
@@ -277,12 +277,12 @@
 			t.Errorf("applied %v", got)
 		}
 	})
-	t.Run("after a child's higher one", func(t *testing.T) {
+	t.Run("after a higher epoch from a child", func(t *testing.T) {
 		relayConfig := config
 		relayConfig.Role = Relay
 		node := followingNode(t, relayConfig)
 		node.PeerOpened(otherPeer, false)
-		node.Receive(otherPeer, greeting(config, Subscriber, 6, 0))
+		node.Receive(otherPeer, newTestHello(config, Subscriber, 6, 0))
 		output := node.TakeOutput()
 		if sent := sentTo(output, parentPeer); !reflect.DeepEqual(sent, []Message{Refused{RefusedEpoch}}) {
 			t.Errorf("sent %v to its parent", sent)
@@ -293,12 +293,12 @@
 	})
 }
 
-func TestLeaveSaysGoodbye(t *testing.T) {
+func TestLeaveSendsGoodbye(t *testing.T) {
 	config := subscriberConfig()
 	config.Role = Relay
 	node := followingNode(t, config)
 	node.PeerOpened(otherPeer, false)
-	node.Receive(otherPeer, greeting(config, Subscriber, 0, AgeUnknown))
+	node.Receive(otherPeer, newTestHello(config, Subscriber, 0, AgeUnknown))
 	node.TakeOutput()
 	node.Leave()
 	output := node.TakeOutput()
@@ -312,11 +312,11 @@
 	}
 }
 
-func TestPublisherKeepsBeforeItSends(t *testing.T) {
+func TestPublisherPersistsBeforeItSends(t *testing.T) {
 	config := publisherConfig()
 	node := mustNode(t, config, nil)
 	node.PeerOpened(otherPeer, false)
-	node.Receive(otherPeer, greeting(config, Relay, 0, AgeUnknown))
+	node.Receive(otherPeer, newTestHello(config, Relay, 0, AgeUnknown))
 	node.Tick(time.Second)
 	node.TakeOutput()
 	position, err := node.Publish(0, []byte("key"), []byte("value"))
@@ -325,7 +325,7 @@
 	}
 	output := node.TakeOutput()
 	if len(output.Persist) != 1 || output.Persist[0].Position != position || len(output.Send) > 0 {
-		t.Errorf("keeps %v, sends %v", output.Persist, output.Send)
+		t.Errorf("persists %v, sends %v", output.Persist, output.Send)
 	}
 	node.Tick(node.NextTick())
 	if sent := sentTo(node.TakeOutput(), otherPeer); len(sent) != 1 {
--- a/internal/feed/output.go
+++ b/internal/feed/output.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// PeerID is a connection, named by the driver. It is not used again for another connection.
+// PeerID identifies a connection. The driver assigns it and never reuses it.
 type PeerID uint64
 
-// Output is what the driver has to do for a node.
+// Output lists what the driver must do for a node.
 type Output struct {
-	// Keep has to be on disk before Send is sent. Publisher only.
+	// Persist must be on disk before Send is sent. Publisher only.
 	Persist []Change
-	// Send is in the order of sending.
+	// Send lists messages in the order in which they must be sent.
 	Send []Envelope
-	// Dial, if not empty, is the parent to connect to. It takes the place of an attempt that is still under way.
+	// Dial is the address of the parent to connect to, if not empty. It replaces an attempt that is still in progress.
 	Dial string
-	// Close lists connections to close once what stands in Send for them is sent. The node has forgotten them: PeerLost
-	// need not be called.
+	// Close lists connections to close once the messages for them in Send are sent. The node has already removed them:
+	// calling PeerLost is not necessary.
 	Close []PeerID
-	// Events are to be acted on in their order.
+	// Events must be handled in order.
 	Events []Event
 }
 
@@ -24,21 +24,21 @@
 type Envelope struct {
 	Peer    PeerID
 	Message Message
-	// Frame is the encoded message, as it goes over the wire.
+	// Frame is the encoded message as it is sent on the wire.
 	Frame []byte
 }
 
-// Event is what a node tells its user: Applied, AppliedSet, AppliedSnapshot, Reset, Stale or Fresh. The publisher has none.
+// Event is a notification from a relay or subscriber: Applied, AppliedSet, AppliedSnapshot, Reset, Stale or Fresh.
 type Event interface {
 	event()
 }
 
-// Applied is a change that follows the one before it.
+// Applied reports a change that directly follows the previous one.
 type Applied struct {
 	Change Change
 }
 
-// AppliedSet stands for the changes after From up to To: each key that begins with one of the prefixes counts as changed.
+// AppliedSet replaces the changes after From up to and including To: each key with one of the prefixes counts as changed.
 type AppliedSet struct {
 	Kind       Kind
 	From, To   Position
@@ -46,8 +46,8 @@
 	Prefixes   []uint64
 }
 
-// AppliedSnapshot is a part of the latest state of a kind: with its changes the node has come from From to To. Changes in
-// between that are left out have been superseded by one that is here or still to come.
+// AppliedSnapshot reports a part of the latest state of a kind, which moves the node from From to To. Changes in between
+// that are missing have been superseded by one that is included or still to come.
 type AppliedSnapshot struct {
 	Kind     Kind
 	From, To Position
@@ -55,19 +55,19 @@
 	Last     bool
 }
 
-// Reset tells that the changes after From up to To are not to be had anymore: all keys count as changed. For a newcomer
-// From is zero.
+// Reset reports that the changes after From up to and including To are no longer available: all keys count as changed. From
+// is zero for a new node.
 type Reset struct {
 	Kind     Kind
 	From, To Position
 }
 
-// Stale tells that the node's knowledge has become older than Config.MaxAge.
+// Stale reports that the node's data has become older than Config.MaxAge.
 type Stale struct {
 	Age time.Duration
 }
 
-// Fresh tells that the node's knowledge is complete and not older than Config.MaxAge.
+// Fresh reports that the node's data is complete and at most Config.MaxAge old.
 type Fresh struct{}
 
 func (Applied) event()         {}
--- a/internal/feed/parent.go
+++ b/internal/feed/parent.go
@@ -2,63 +2,63 @@
 
 import "time"
 
-// searchSlowdown is by how much the longest wait between looks at other parents exceeds RetryMax, while a parent is there
-// whose own knowledge is stale.
-const searchSlowdown = 8
+// searchBackoffFactor times RetryMax is the maximum delay between attempts to find another parent while the current one has
+// stale data.
+const searchBackoffFactor = 8
 
-// linkState is how far a connection to a parent has come.
+// linkState is the state of a connection to a parent.
 type linkState uint8
 
 const (
-	linkDialling linkState = iota + 1
-	// linkGreeting: Hello is sent, the parent's is awaited.
-	linkGreeting
+	linkDialing linkState = iota + 1
+	// linkAwaitingHello: this node has sent its Hello and waits for the parent's.
+	linkAwaitingHello
 	linkFollowing
 )
 
-// link is a connection, or an attempt at one, to a parent.
+// link is an outgoing connection to a parent, or an attempt to open one.
 type link struct {
 	index   int
 	address string
 	peer    PeerID
 	state   linkState
-	// dialled is when the attempt began; heard is when the parent last said anything; changed is when it last brought changes.
-	dialled, heard, changed time.Duration
-	// probed: the Hello that was sent asked for no changes.
-	probed bool
-	// awaitsHello: what comes before the parent's next Hello doesn't fit anymore.
+	// dialedAt is when the attempt started, lastHeard when the last message arrived, lastChanged when the last changes did.
+	dialedAt, lastHeard, lastChanged time.Duration
+	// isProbe: the Hello that was sent requested no changes.
+	isProbe bool
+	// awaitsHello: messages before the parent's next Hello are ignored because they no longer match this node's positions.
 	awaitsHello bool
-	// epoch is the highest that the parent has seen, sourceStale whether its own knowledge is stale.
+	// epoch is the highest epoch the parent has seen, sourceStale whether the parent's own data is stale.
 	epoch       uint64
 	sourceStale bool
 }
 
-// upstream is a node's side towards its parents. There is one parent at a time, and at most one candidate besides: the
-// next parent where there is none, else one that may be better.
+// upstream is the state of a node's connections to its parents. There is at most one parent, and at most one candidate: the
+// next parent if there is none, otherwise one that may be better.
 type upstream struct {
 	addresses []string
 	parent    *link
 	candidate *link
-	// next is the index of the next address to try, dialAt when. never: nothing is planned.
-	next   int
-	dialAt time.Duration
-	retry  backoff
-	search backoff
-	// returnAt is when to look whether the preferred parent is back.
+	// nextAddress is the index of the next address to try, dialAt the time to try it. dialAt is never if nothing is scheduled.
+	nextAddress   int
+	dialAt        time.Duration
+	retryBackoff  backoff
+	searchBackoff backoff
+	// returnAt is when to check whether the preferred parent is back.
 	returnAt time.Duration
 	pingAt   time.Duration
-	// received tells when anything was last received from a parent.
-	received watermark
+	// lastReceived is the time at which anything was last received from a parent.
+	lastReceived watermark
 }
 
 func newUpstream(config Config, now time.Duration) upstream {
 	u := upstream{
-		addresses: config.Parents,
-		dialAt:    now,
-		retry:     backoff{least: config.RetryMin, most: config.RetryMax},
-		search:    backoff{least: config.RetryMax, most: searchSlowdown * config.RetryMax},
-		returnAt:  never,
-		pingAt:    never,
+		addresses:     config.Parents,
+		dialAt:        now,
+		retryBackoff:  backoff{minDelay: config.RetryMin, maxDelay: config.RetryMax},
+		searchBackoff: backoff{minDelay: config.RetryMax, maxDelay: searchBackoffFactor * config.RetryMax},
+		returnAt:      never,
+		pingAt:        never,
 	}
 	if len(config.Parents) == 0 {
 		u.dialAt = never
@@ -66,17 +66,17 @@
 	return u
 }
 
-// link returns the connection of that name, or nil.
+// link returns the established connection with that ID, or nil.
 func (u *upstream) link(peer PeerID) *link {
 	for _, link := range u.links() {
-		if link.state != linkDialling && link.peer == peer {
+		if link.state != linkDialing && link.peer == peer {
 			return link
 		}
 	}
 	return nil
 }
 
-// links returns the connections and attempts that there are.
+// links returns all current connections and attempts.
 func (u *upstream) links() []*link {
 	var links []*link
 	if u.parent != nil {
@@ -88,19 +88,19 @@
 	return links
 }
 
-// tickUpstream does what is due towards the parents.
+// tickUpstream handles timeouts of parent and candidate, and sends pings and opens connections that are due.
 func (n *Node) tickUpstream() {
 	u := &n.upstream
-	if parent := u.parent; parent != nil && n.now-parent.heard >= n.config.SilenceAfter {
-		n.endLink(parent, Goodbye{})
-		n.parentGone(parent)
+	if parent := u.parent; parent != nil && n.now-parent.lastHeard >= n.config.SilenceAfter {
+		n.closeLink(parent, Goodbye{})
+		n.handleParentClosed(parent)
 	}
 	if candidate := u.candidate; candidate != nil && n.now >= n.candidateDeadline(candidate) {
-		n.endLink(candidate, Goodbye{})
-		n.candidateTimedOut(candidate)
+		n.closeLink(candidate, Goodbye{})
+		n.handleCandidateTimeout(candidate)
 	}
 	if u.parent != nil && n.now >= u.pingAt {
-		n.ping()
+		n.sendPing()
 	}
 	if u.parent != nil && n.now >= u.returnAt && u.candidate == nil {
 		u.returnAt = never
@@ -108,16 +108,16 @@
 	}
 	if n.now >= u.dialAt && u.candidate == nil {
 		u.dialAt = never
-		n.dial(u.next)
+		n.dial(u.nextAddress)
 	}
 }
 
-// upstreamTick returns when the next thing is due.
-func (n *Node) upstreamTick() time.Duration {
+// nextUpstreamTick returns when tickUpstream next has work, or never.
+func (n *Node) nextUpstreamTick() time.Duration {
 	u := &n.upstream
 	next := never
 	if u.parent != nil {
-		next = min(u.pingAt, u.parent.heard+n.config.SilenceAfter)
+		next = min(u.pingAt, u.parent.lastHeard+n.config.SilenceAfter)
 	}
 	if u.candidate != nil {
 		return min(next, n.candidateDeadline(u.candidate))
@@ -128,54 +128,56 @@
 	return min(next, u.dialAt)
 }
 
-// candidateDeadline returns when a candidate is given up. A process that is frozen or overloaded may take a connection and
-// say nothing: the first is soon left for the next, but after each failure more time is given, up to that of a parent.
+// candidateDeadline returns when to give up on a candidate. A frozen or overloaded process may accept a connection and send
+// nothing: the first such candidate is dropped quickly, and the timeout grows with each failure up to that of a parent.
 func (n *Node) candidateDeadline(candidate *link) time.Duration {
-	if candidate.state == linkDialling {
-		return candidate.dialled + n.config.DialTimeout
+	if candidate.state == linkDialing {
+		return candidate.dialedAt + n.config.DialTimeout
 	}
-	patience := n.config.DialTimeout * time.Duration(max(n.upstream.retry.attempts, 1))
-	return candidate.heard + min(patience, n.config.SilenceAfter)
+	timeout := n.config.DialTimeout * time.Duration(max(n.upstream.retryBackoff.attempts, 1))
+	return candidate.lastHeard + min(timeout, n.config.SilenceAfter)
 }
 
+// dial requests a connection to the parent with the given index and makes it the candidate.
 func (n *Node) dial(index int) {
 	address := n.upstream.addresses[index]
-	n.upstream.candidate = &link{index: index, address: address, state: linkDialling, dialled: n.now}
+	n.upstream.candidate = &link{index: index, address: address, state: linkDialing, dialedAt: n.now}
 	n.output.Dial = address
 	n.counters.Dials++
 }
 
-// DialFailed tells that the latest attempt to connect has failed.
+// DialFailed reports that the latest attempt to connect has failed.
 func (n *Node) DialFailed() {
 	candidate := n.upstream.candidate
-	if candidate == nil || candidate.state != linkDialling {
+	if candidate == nil || candidate.state != linkDialing {
 		return
 	}
 	n.upstream.candidate = nil
-	n.candidateGone(candidate)
+	n.handleCandidateClosed(candidate)
 }
 
-// parentOpened greets the parent at the other end of a new connection.
-func (n *Node) parentOpened(peer PeerID) {
+// greetParent sends a Hello on a new outgoing connection.
+func (n *Node) greetParent(peer PeerID) {
 	candidate := n.upstream.candidate
-	if candidate == nil || candidate.state != linkDialling {
-		n.close(peer)
+	if candidate == nil || candidate.state != linkDialing {
+		n.closePeer(peer)
 		return
 	}
 	candidate.peer = peer
-	candidate.state = linkGreeting
-	candidate.heard = n.now
-	candidate.probed = n.upstream.parent != nil
-	n.sendHello(candidate, candidate.probed)
+	candidate.state = linkAwaitingHello
+	candidate.lastHeard = n.now
+	candidate.isProbe = n.upstream.parent != nil
+	n.sendHello(candidate, candidate.isProbe)
 }
 
-// sendHello says how far this node has come.
+// sendHello sends this node's positions to a parent and ignores the parent's other messages until it answers.
 func (n *Node) sendHello(link *link, probe bool) {
-	n.send(link.peer, n.hello(stampAt(n.now), probe), &n.counters.ToParents)
+	n.send(link.peer, n.newHello(stampAt(n.now), probe), &n.counters.ToParents)
 	link.awaitsHello = true
 }
 
-func (n *Node) hello(stamp Stamp, probe bool) Hello {
+// newHello returns a Hello with the current state of this node.
+func (n *Node) newHello(stamp Stamp, probe bool) Hello {
 	return Hello{
 		Version:       Version,
 		Cluster:       n.config.Cluster,
@@ -186,34 +188,35 @@
 		Probe:         probe,
 		Stamp:         stamp,
 		Age:           n.age(),
-		SinceReceived: n.upstream.received.age(n.now),
+		SinceReceived: n.upstream.lastReceived.age(n.now),
 		Positions:     n.positions(),
 	}
 }
 
-func (n *Node) ping() {
+// sendPing sends a Ping to the parent and schedules the next one.
+func (n *Node) sendPing() {
 	u := &n.upstream
 	n.send(u.parent.peer, Ping{Stamp: stampAt(n.now)}, &n.counters.ToParents)
 	u.pingAt = n.now + n.config.HeartbeatEvery
 }
 
-// parentLost takes the end of a connection that the other side or the network has ended.
-func (n *Node) parentLost(link *link) {
-	n.forgetLink(link)
-	n.linkGone(link)
+// handleLinkLost handles a connection that was ended by the peer or the network.
+func (n *Node) handleLinkLost(link *link) {
+	n.removeLink(link)
+	n.handleLinkClosed(link)
 }
 
-// endLink says a last word and closes the connection.
-func (n *Node) endLink(link *link, last Message) {
-	n.forgetLink(link)
-	if link.state == linkDialling {
+// closeLink sends a final message and closes the connection, or abandons the attempt to connect.
+func (n *Node) closeLink(link *link, last Message) {
+	n.removeLink(link)
+	if link.state == linkDialing {
 		return
 	}
 	n.send(link.peer, last, &n.counters.ToParents)
-	n.close(link.peer)
+	n.closePeer(link.peer)
 }
 
-func (n *Node) forgetLink(link *link) {
+func (n *Node) removeLink(link *link) {
 	u := &n.upstream
 	if u.parent == link {
 		u.parent = nil
@@ -225,56 +228,58 @@
 	}
 }
 
-// linkGone plans what comes after the loss of a connection, which is forgotten already.
-func (n *Node) linkGone(link *link) {
+// handleLinkClosed schedules the next step after a connection was lost or closed and removed.
+func (n *Node) handleLinkClosed(link *link) {
 	if link.state == linkFollowing {
-		n.parentGone(link)
+		n.handleParentClosed(link)
 		return
 	}
-	n.candidateGone(link)
+	n.handleCandidateClosed(link)
 }
 
-func (n *Node) parentGone(parent *link) {
+// handleParentClosed schedules an attempt at the next address after the connection to the parent has ended.
+func (n *Node) handleParentClosed(parent *link) {
 	n.counters.ParentsLost++
-	n.planNextParent(parent.index, n.now)
+	n.scheduleNextParent(parent.index, n.now)
 }
 
-// candidateGone goes on to the next address, or back to what the candidate was to be better than.
-func (n *Node) candidateGone(candidate *link) {
+// handleCandidateClosed schedules the next attempt: at the next address, or later if there still is a parent.
+func (n *Node) handleCandidateClosed(candidate *link) {
 	if n.upstream.parent == nil {
-		n.planNextParent(candidate.index, candidate.dialled)
+		n.scheduleNextParent(candidate.index, candidate.dialedAt)
 		return
 	}
-	n.upstream.next = n.nextIndex(candidate.index)
-	n.planReturn()
-	n.planSearch()
+	n.upstream.nextAddress = n.nextIndex(candidate.index)
+	n.scheduleReturn()
+	n.scheduleSearch()
 }
 
-// candidateTimedOut goes on to the next address. An attempt at a connection that is given up has taken its time already, and
-// has reached nobody: the next one follows soon, so that a network that was cut is used again soon after it heals.
-func (n *Node) candidateTimedOut(candidate *link) {
-	if n.upstream.parent != nil || candidate.state != linkDialling {
-		n.candidateGone(candidate)
+// handleCandidateTimeout schedules the next attempt. After a dial timeout the delay is short: the attempt has already taken
+// its time and put no load on anyone, and a network that has healed should be used again soon.
+func (n *Node) handleCandidateTimeout(candidate *link) {
+	if n.upstream.parent != nil || candidate.state != linkDialing {
+		n.handleCandidateClosed(candidate)
 		return
 	}
-	n.upstream.next = n.nextIndex(candidate.index)
+	n.upstream.nextAddress = n.nextIndex(candidate.index)
 	n.upstream.dialAt = n.now + jitter(n.random, n.config.RetryMin)
 }
 
-// planNextParent plans an attempt at the address after that of a parent that is lost. The wait is from a moment on: from the
-// loss, or from the beginning of the attempt that has failed.
-func (n *Node) planNextParent(lost int, from time.Duration) {
+// scheduleNextParent schedules an attempt at the address after that of a lost parent. The delay counts from a given time:
+// the loss, or the start of the failed attempt.
+func (n *Node) scheduleNextParent(lost int, from time.Duration) {
 	u := &n.upstream
-	u.next = n.nextIndex(lost)
-	u.dialAt = max(n.now, from+u.retry.next(n.random))
+	u.nextAddress = n.nextIndex(lost)
+	u.dialAt = max(n.now, from+u.retryBackoff.next(n.random))
 }
 
+// nextIndex returns the index of the address after the given one, cyclically.
 func (n *Node) nextIndex(index int) int {
 	return (index + 1) % len(n.upstream.addresses)
 }
 
-// planReturn plans a look at the preferred parent where another one is followed.
-func (n *Node) planReturn() {
+// scheduleReturn schedules a probe of the preferred parent if another one is being followed.
+func (n *Node) scheduleReturn() {
 	u := &n.upstream
 	if u.parent == nil || u.parent.index == 0 || u.returnAt != never {
 		return
@@ -282,29 +287,29 @@
 	u.returnAt = n.now + n.config.ReturnAfter + jitter(n.random, n.config.ReturnJitter)
 }
 
-// parentIsStuck tells whether the parent's own knowledge is stale and nothing new comes from it. One that is catching up
-// itself is not stuck: to leave it then would only cost time.
-func (n *Node) parentIsStuck() bool {
+// isParentStuck reports whether the parent's own data is stale and no changes arrive from it. A parent that is catching up
+// is not stuck: leaving it would only cost time.
+func (n *Node) isParentStuck() bool {
 	parent := n.upstream.parent
-	return parent.sourceStale && n.now-parent.changed > n.config.HeartbeatEvery
+	return parent.sourceStale && n.now-parent.lastChanged > n.config.HeartbeatEvery
 }
 
-// planSearch plans a look at other parents while the one that is followed is stuck.
-func (n *Node) planSearch() {
+// scheduleSearch schedules a probe of another parent while the current one is stuck.
+func (n *Node) scheduleSearch() {
 	u := &n.upstream
 	if u.parent == nil {
 		return
 	}
-	if !n.parentIsStuck() {
+	if !n.isParentStuck() {
 		u.dialAt = never
-		u.search.reset()
+		u.searchBackoff.reset()
 		return
 	}
 	if len(u.addresses) < 2 || u.dialAt != never || u.candidate != nil {
 		return
 	}
-	if u.next == u.parent.index {
-		u.next = n.nextIndex(u.next)
+	if u.nextAddress == u.parent.index {
+		u.nextAddress = n.nextIndex(u.nextAddress)
 	}
-	u.dialAt = n.now + n.config.RetryMin + u.search.next(n.random)
+	u.dialAt = n.now + n.config.RetryMin + u.searchBackoff.next(n.random)
 }
--- a/internal/feed/parent_test.go
+++ b/internal/feed/parent_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tickUntil ticks a node whenever it asks for it, until a moment, and returns all that it put out.
+// tickUntil ticks a node whenever it requests it, until the given time, and returns all of its output.
 func tickUntil(node *Node, end time.Duration) Output {
 	var all Output
 	for {
@@ -26,11 +26,11 @@
 	}
 }
 
-func TestSilentParentIsGivenUp(t *testing.T) {
+func TestSilentParentIsDropped(t *testing.T) {
 	node := followingNode(t, subscriberConfig())
 	tickUntil(node, node.now+DefaultSilenceAfter-time.Millisecond)
 	if !node.Status().Connected {
-		t.Fatal("given up too early")
+		t.Fatal("disconnected too early")
 	}
 	output := tickUntil(node, node.now+DefaultRetryMin+time.Millisecond)
 	if node.Status().Connected || len(output.Close) != 1 || output.Dial != "b" {
@@ -38,51 +38,51 @@
 	}
 }
 
-func TestOwnStopIsNotTheParentsSilence(t *testing.T) {
+func TestOwnSuspensionDoesNotDropTheParent(t *testing.T) {
 	node := followingNode(t, subscriberConfig())
 	node.Tick(node.now + time.Minute)
 	if !node.Status().Connected {
-		t.Error("gave its parent up for its own silence")
+		t.Error("dropped its parent after its own suspension")
 	}
 }
 
-func TestAttemptsGoOnThroughTheList(t *testing.T) {
+func TestAttemptsCycleThroughTheParents(t *testing.T) {
 	node := mustNode(t, subscriberConfig(), nil)
-	var dialled []string
-	for len(dialled) < 6 {
+	var dialed []string
+	for len(dialed) < 6 {
 		node.Tick(node.NextTick())
 		if address := node.TakeOutput().Dial; address != "" {
-			dialled = append(dialled, address)
-			if len(dialled)%2 == 0 {
+			dialed = append(dialed, address)
+			if len(dialed)%2 == 0 {
 				node.DialFailed()
 			}
 		}
 	}
-	if wanted := []string{"a", "b", "a", "b", "a", "b"}; !reflect.DeepEqual(dialled, wanted) {
-		t.Errorf("dialled %v", dialled)
+	if wanted := []string{"a", "b", "a", "b", "a", "b"}; !reflect.DeepEqual(dialed, wanted) {
+		t.Errorf("dialed %v", dialed)
 	}
 	if most := 6 * (DefaultDialTimeout + DefaultRetryMax); node.now > most {
 		t.Errorf("six attempts took %s", node.now)
 	}
 }
 
-func TestCandidateThatSaysNothingIsLeftSoon(t *testing.T) {
+func TestSilentCandidateIsDroppedSoon(t *testing.T) {
 	node := mustNode(t, subscriberConfig(), nil)
 	node.Tick(0)
 	node.TakeOutput()
 	opened := PeerID(10)
-	for _, patience := range []time.Duration{
+	for _, timeout := range []time.Duration{
 		DefaultDialTimeout, DefaultDialTimeout, 2 * DefaultDialTimeout, 3 * DefaultDialTimeout, DefaultSilenceAfter,
 		DefaultSilenceAfter,
 	} {
 		opened++
 		node.PeerOpened(opened, true)
-		begun := node.now
+		start := node.now
 		for node.upstream.candidate != nil && node.upstream.candidate.peer == opened {
 			node.Tick(node.NextTick())
 		}
-		if waited := node.now - begun; waited != patience {
-			t.Errorf("left after %s, not %s", waited, patience)
+		if waited := node.now - start; waited != timeout {
+			t.Errorf("dropped after %s, want %s", waited, timeout)
 		}
 		for node.upstream.candidate == nil {
 			node.Tick(node.NextTick())
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestConnectionThatComesTooLateIsClosed(t *testing.T) {
+func TestLateConnectionIsClosed(t *testing.T) {
 	node := followingNode(t, subscriberConfig())
 	node.PeerOpened(otherPeer, true)
 	if output := node.TakeOutput(); len(output.Close) != 1 || output.Close[0] != otherPeer {
@@ -98,7 +98,7 @@
 	}
 }
 
-// nodeOnSecondParent returns a node that follows the second of its parents, kept by heartbeats up to a moment.
+// nodeOnSecondParent returns a node that follows its second parent, whose own data has age sourceAge.
 func nodeOnSecondParent(t *testing.T, sourceAge time.Duration) *Node {
 	t.Helper()
 	node := mustNode(t, subscriberConfig(), nil)
@@ -109,11 +109,11 @@
 		t.Fatalf("dials %q", output.Dial)
 	}
 	node.PeerOpened(parentPeer, true)
-	node.Receive(parentPeer, greeting(node.config, Relay, 1, sourceAge))
+	node.Receive(parentPeer, newTestHello(node.config, Relay, 1, sourceAge))
 	return node
 }
 
-// heartbeatsUntil answers the node's pings until it dials or a moment has come, and returns the address dialled.
+// heartbeatsUntil answers the node's pings until it dials or the end time is reached, and returns the dialed address.
 func heartbeatsUntil(node *Node, end, sourceAge time.Duration) string {
 	for node.now < end {
 		node.Tick(min(node.NextTick(), end))
@@ -132,7 +132,7 @@
 	return ""
 }
 
-func TestPreferredParentIsReturnedTo(t *testing.T) {
+func TestNodeReturnsToItsPreferredParent(t *testing.T) {
 	for _, fresh := range []bool{true, false} {
 		node := nodeOnSecondParent(t, 0)
 		address := heartbeatsUntil(node, time.Hour, 0)
@@ -141,13 +141,13 @@
 		}
 		node.PeerOpened(otherPeer, true)
 		if hello := sentTo(node.TakeOutput(), otherPeer)[0].(Hello); !hello.Probe {
-			t.Error("asks for changes before it has left its parent")
+			t.Error("requests changes while it still has another parent")
 		}
 		age := AgeUnknown
 		if fresh {
 			age = 0
 		}
-		node.Receive(otherPeer, greeting(node.config, Relay, 1, age))
+		node.Receive(otherPeer, newTestHello(node.config, Relay, 1, age))
 		output := node.TakeOutput()
 		left, wanted := parentPeer, "a"
 		if !fresh {
@@ -160,7 +160,7 @@
 			continue
 		}
 		if again := heartbeatsUntil(node, 3*time.Hour, 0); again != "a" {
-			t.Errorf("looks no second time at its preferred parent, but dials %q", again)
+			t.Errorf("does not probe its preferred parent again: dials %q", again)
 		}
 	}
 }
@@ -174,48 +174,48 @@
 		config.Seed = seed
 		node := mustNode(t, config, nil)
 		node.upstream.parent = &link{index: 1}
-		node.planReturn()
+		node.scheduleReturn()
 		slot := (node.upstream.returnAt - DefaultReturnAfter) * slots / DefaultReturnJitter
 		counts[min(slot, slots-1)]++
 	}
 	for slot, count := range counts {
 		if count > 2*nodes/slots {
-			t.Errorf("%d of %d return in the tenth %d of the time", count, nodes, slot)
+			t.Errorf("%d of %d nodes return in tenth %d of the interval", count, nodes, slot)
 		}
 	}
 }
 
-func TestAnotherParentIsSoughtWhereTheParentIsStale(t *testing.T) {
-	t.Run("a fresh one is taken", func(t *testing.T) {
+func TestStaleParentIsReplaced(t *testing.T) {
+	t.Run("switches to a fresh candidate", func(t *testing.T) {
 		node := nodeOnSecondParent(t, time.Minute)
 		if address := heartbeatsUntil(node, 10*time.Second, time.Minute); address != "a" {
 			t.Fatalf("dials %q", address)
 		}
 		node.PeerOpened(otherPeer, true)
-		node.Receive(otherPeer, greeting(node.config, Relay, 1, time.Second))
+		node.Receive(otherPeer, newTestHello(node.config, Relay, 1, time.Second))
 		if parent := node.Status().Parent; parent != "a" {
 			t.Errorf("follows %q", parent)
 		}
 	})
-	t.Run("it stays where all are stale", func(t *testing.T) {
+	t.Run("stays if all are stale", func(t *testing.T) {
 		node := nodeOnSecondParent(t, time.Minute)
 		heartbeatsUntil(node, 10*time.Second, time.Minute)
 		node.PeerOpened(otherPeer, true)
-		node.Receive(otherPeer, greeting(node.config, Relay, 1, time.Minute))
+		node.Receive(otherPeer, newTestHello(node.config, Relay, 1, time.Minute))
 		if parent := node.Status().Parent; parent != "b" {
 			t.Errorf("follows %q", parent)
 		}
 		if address := heartbeatsUntil(node, node.now+time.Minute, time.Minute); address != "a" {
-			t.Errorf("looks at no other again, but dials %q", address)
+			t.Errorf("does not probe another parent again: dials %q", address)
 		}
 	})
-	t.Run("it stays where the parent is fresh", func(t *testing.T) {
+	t.Run("stays if the parent is fresh", func(t *testing.T) {
 		node := nodeOnSecondParent(t, 0)
 		if address := heartbeatsUntil(node, DefaultReturnAfter, 0); address != "" {
 			t.Errorf("dials %q", address)
 		}
 	})
-	t.Run("it stays where the parent is catching up", func(t *testing.T) {
+	t.Run("stays if the parent is catching up", func(t *testing.T) {
 		node := nodeOnSecondParent(t, time.Minute)
 		for node.now < 10*time.Second {
 			from := node.kinds[1].head
@@ -224,7 +224,7 @@
 				continue
 			}
 			node.PeerOpened(otherPeer, true)
-			node.Receive(otherPeer, greeting(node.config, Relay, 1, 0))
+			node.Receive(otherPeer, newTestHello(node.config, Relay, 1, 0))
 			node.TakeOutput()
 		}
 		if parent := node.Status().Parent; parent != "b" {
@@ -233,13 +233,13 @@
 	})
 }
 
-func TestLossOfTheParentDuringALookTakesTheCandidate(t *testing.T) {
+func TestCandidateReplacesAParentLostDuringAProbe(t *testing.T) {
 	node := nodeOnSecondParent(t, time.Minute)
 	heartbeatsUntil(node, 10*time.Second, time.Minute)
 	node.PeerOpened(otherPeer, true)
 	node.TakeOutput()
 	node.PeerLost(parentPeer)
-	node.Receive(otherPeer, greeting(node.config, Relay, 1, time.Minute))
+	node.Receive(otherPeer, newTestHello(node.config, Relay, 1, time.Minute))
 	sent := sentTo(node.TakeOutput(), otherPeer)
 	if parent := node.Status().Parent; parent != "a" || len(sent) != 1 || sent[0].(Hello).Probe {
 		t.Errorf("follows %q, sent %v", parent, sent)
--- a/internal/feed/prefix.go
+++ b/internal/feed/prefix.go
@@ -1,13 +1,13 @@
 package feed
 
-// prefixBits is how many of a key's first bits stand for it in a PrefixSet. Of 130 million objects about eight share a
-// prefix.
+// prefixBits is the number of leading bits of a key that represent it in a PrefixSet. With 130 million objects, about eight
+// share a prefix.
 const prefixBits = 24
 
-// minEventKeyLength is the shortest key of a kind without a latest state: it holds a whole prefix.
+// minEventKeyLength is the minimum key length, in bytes, of a kind without state: the key must cover a whole prefix.
 const minEventKeyLength = prefixBits / 8
 
-// keyPrefix returns the first bits of a key as a number. Bits past the key's end are zero.
+// keyPrefix returns the leading bits of a key as a number. Bits beyond the end of the key are zero.
 func keyPrefix(key []byte, bits int) uint64 {
 	prefix := uint64(0)
 	for i := range maxPrefixBits / 8 {
--- a/internal/feed/region_cut_test.go
+++ b/internal/feed/region_cut_test.go
@@ -10,7 +10,7 @@
 	cutSubscribers = 120
 )
 
-// buildCutFleet returns a fleet of which region 1 has 120 subscribers. relayInside: their preferred relay is with them.
+// buildCutFleet returns a fleet with 120 subscribers in region 1, and with their preferred relay there if relayInside is set.
 func buildCutFleet(seed uint64, relayInside bool) *simulation {
 	config := planConfig(30000)
 	s := newSimulation(seed, config)
@@ -59,7 +59,7 @@
 			for seed := range uint64(5) {
 				s := buildCutFleet(seed, test.relayInside)
 				cut := step{fault: faultRegionCut, at: cutAt, lasts: longCut, region: cutRegion}
-				s.enact(cut)
+				s.schedule(cut)
 				healed := cutAt + longCut
 				s.publishUntil(healed+currentWithin, 0, designSettingsPerSecond)
 				s.publishUntil(healed+currentWithin, 1, purgesPerSecond)
--- a/internal/feed/relay_loss_test.go
+++ b/internal/feed/relay_loss_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// lossFleet returns a fleet in which changes go on until a moment.
+// lossFleet returns a fleet with ongoing changes until the given time.
 func lossFleet(end time.Duration) *simulation {
 	p := plan{seed: 5, relays: 4, subscribers: 40, window: 3000}
 	s := p.build()
@@ -14,7 +14,7 @@
 	return s
 }
 
-// requireCurrent requires that all subscribers in regions that aren't cut off are current.
+// requireCurrent requires that all subscribers are current.
 func requireCurrent(t *testing.T, s *simulation) {
 	t.Helper()
 	for _, node := range s.nodes {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestSubscribersLeaveRelaysThatAreLost(t *testing.T) {
+func TestSubscribersLeaveLostRelays(t *testing.T) {
 	const lostAt = 5 * time.Second
 	tests := []struct {
 		name string
@@ -56,16 +56,16 @@
 	}
 }
 
-func TestSubscribersLeaveARelayThatHasLostThePublisher(t *testing.T) {
+func TestSubscribersLeaveARelayWithoutPublisher(t *testing.T) {
 	const (
 		lostAt = 5 * time.Second
-		// The relay has to be silent, its knowledge stale, and another one found.
+		// The relay must time out its parent and become stale, and the subscribers must find another relay.
 		movedWithin = 8 * time.Second
 	)
 	s := lossFleet(lostAt + movedWithin)
 	relay := s.byName[relayName(1)]
 	s.at(lostAt, func() {
-		// It is in a region of its own now, whose ways to the subscribers are left.
+		// Leave the relay without a publisher but still connected to its subscribers.
 		relay.node.config.Parents[0] = "nowhere"
 		relay.node.upstream.addresses = []string{relayName(2)}
 		for _, peer := range sortedPeers(relay.peers) {
@@ -85,14 +85,14 @@
 func TestBudgetOfANewConnection(t *testing.T) {
 	config := publisherConfig()
 	node := mustNode(t, config, nil)
-	hello := greeting(config, Subscriber, 0, AgeUnknown)
+	hello := newTestHello(config, Subscriber, 0, AgeUnknown)
 	for _, test := range []struct {
 		since  time.Duration
 		wanted float64
 	}{{AgeUnknown, DefaultChildBurst}, {time.Second, DefaultChildBurst}, {time.Second - 1, 0}, {0, 0}} {
 		hello.SinceReceived = test.since
 		if b := node.childBudget(hello); b.tokens != test.wanted {
-			t.Errorf("%s since it received anything: %.0f bytes, not %.0f", test.since, b.tokens, test.wanted)
+			t.Errorf("%s since the last message: %.0f bytes, want %.0f", test.since, b.tokens, test.wanted)
 		}
 	}
 	hello.SinceReceived = time.Minute
--- a/internal/feed/rice.go
+++ b/internal/feed/rice.go
@@ -2,18 +2,18 @@
 
 import "math/bits"
 
-// Sets of prefixes are written as the gaps between them in Golomb-Rice code: a gap's quotient by a power of two in unary,
-// then its remainder in binary. Prefixes of hashes are spread evenly, so that a set of 200 out of 2^24 takes 18.5 bits for
-// each, where varints of the gaps take 24. A catch-up of two minutes has to pass through a small budget within seconds.
+// Sets of prefixes are encoded as the gaps between them in Golomb-Rice code: a gap's quotient by a power of two in unary,
+// then its remainder in binary. Hash prefixes are evenly distributed, so a set of 200 out of 2^24 takes 18.5 bits per prefix,
+// compared with 24 for varints of the gaps. This keeps a catch-up of two minutes within a small budget.
 
 const (
-	// maxPrefixBits bounds the bits of a prefix.
+	// maxPrefixBits is the maximum number of bits of a prefix.
 	maxPrefixBits = 32
 )
 
-// riceCoded writes distinct, rising prefixes: their number, the bits of a remainder, and the gaps.
-func (e *encoder) riceCoded(prefixes []uint64) {
-	e.number(uint64(len(prefixes)))
+// ricePrefixes writes distinct prefixes in increasing order: their number, the bits of a remainder, and the gaps.
+func (e *encoder) ricePrefixes(prefixes []uint64) {
+	e.uvarint(uint64(len(prefixes)))
 	if len(prefixes) == 0 {
 		return
 	}
@@ -30,8 +30,8 @@
 	e.buffer = writer.finish()
 }
 
-// riceCoded reads what the encoder's method of that name has written.
-func (d *decoder) riceCoded(prefixBits int) []uint64 {
+// ricePrefixes reads a set of prefixes of prefixBits bits each.
+func (d *decoder) ricePrefixes(prefixBits int) []uint64 {
 	count := d.count(1)
 	if count == 0 {
 		return nil
@@ -59,32 +59,32 @@
 	return prefixes
 }
 
-// riceParameter returns the bits of a remainder that make for a short code: those of the mean gap's larger half.
+// riceParameter returns the number of remainder bits for a short code: the integer part of log2 of the mean gap.
 func riceParameter(prefixes []uint64) int {
 	last := prefixes[len(prefixes)-1]
 	mean := last / uint64(len(prefixes))
 	return max(bits.Len64(mean)-1, 0)
 }
 
-// bitWriter appends bits, the highest of a byte first.
+// bitWriter appends bits, starting with the most significant bit of each byte.
 type bitWriter struct {
 	buffer []byte
-	// pending holds the lowest used bits of a byte that isn't full.
-	pending uint8
-	used    int
+	// pending holds the bits of an incomplete byte in its low end.
+	pending     uint8
+	pendingBits int
 }
 
 func (w *bitWriter) bit(value uint64) {
 	w.pending = w.pending<<1 | uint8(value&1)
-	w.used++
-	if w.used == 8 {
+	w.pendingBits++
+	if w.pendingBits == 8 {
 		w.buffer = append(w.buffer, w.pending)
 		w.pending = 0
-		w.used = 0
+		w.pendingBits = 0
 	}
 }
 
-// unary writes value ones and a zero.
+// unary writes value one bits followed by a zero bit.
 func (w *bitWriter) unary(value uint64) {
 	for range value {
 		w.bit(1)
@@ -92,22 +92,22 @@
 	w.bit(0)
 }
 
-// binary writes the lowest bits of value.
+// binary writes the count lowest bits of value.
 func (w *bitWriter) binary(value uint64, count int) {
 	for i := count - 1; i >= 0; i-- {
 		w.bit(value >> i)
 	}
 }
 
-// finish fills the last byte with zeros and returns all.
+// finish pads the last byte with zeros and returns the buffer.
 func (w *bitWriter) finish() []byte {
-	for w.used > 0 {
+	for w.pendingBits > 0 {
 		w.bit(0)
 	}
 	return w.buffer
 }
 
-// bitReader reads bits, the highest of a byte first. Past the end it has failed.
+// bitReader reads bits, starting with the most significant bit of each byte. Reading past the end sets failed.
 type bitReader struct {
 	data   []byte
 	next   int
@@ -140,7 +140,7 @@
 	return value
 }
 
-// bytesRead counts the bytes of which a bit was read.
+// bytesRead returns the number of bytes read, including one that is read in part.
 func (r *bitReader) bytesRead() int {
 	return (r.next + 7) / 8
 }
--- a/internal/feed/serve.go
+++ b/internal/feed/serve.go
@@ -8,40 +8,41 @@
 const (
 	// maxMessage bounds the bytes of one message with changes.
 	maxMessage = 16 << 10
-	// totalReserveShare is the part of the total burst that is left for heartbeats.
+	// totalReserveShare is the divisor that gives the part of the total burst reserved for heartbeats.
 	totalReserveShare = 4
 )
 
-// serveRound sends the children what they lack, as far as the budgets go: settings before events, and first those who have
-// waited longest. It returns whether anything is left.
+// serveRound sends the children what they lack, as far as the budgets allow: heartbeats first, then stateful kinds, then
+// events, starting with the children that have waited longest. It reports whether any child still lacks something.
 func (n *Node) serveRound() bool {
 	waiting := n.waitingChildren()
 	for _, child := range waiting {
 		if child.heartbeatDue {
-			n.answerPing(child)
+			n.sendHeartbeat(child)
 		}
 	}
-	for _, latest := range []bool{true, false} {
+	for _, stateful := range []bool{true, false} {
 		for _, child := range waiting {
-			n.serveKinds(child, latest)
+			n.serveKinds(child, stateful)
 		}
 	}
-	return slices.ContainsFunc(waiting, n.lacks)
+	return slices.ContainsFunc(waiting, n.needsService)
 }
 
-// waitingChildren returns the children that lack something, the longest unserved first.
+// waitingChildren returns the children that lack something, least recently served first.
 func (n *Node) waitingChildren() []*child {
 	var waiting []*child
-	for _, child := range n.children.inOrder {
-		if n.lacks(child) {
+	for _, child := range n.children.ordered {
+		if n.needsService(child) {
 			waiting = append(waiting, child)
 		}
 	}
-	slices.SortStableFunc(waiting, func(a, b *child) int { return int(a.served - b.served) })
+	slices.SortStableFunc(waiting, func(a, b *child) int { return int(a.lastServed - b.lastServed) })
 	return waiting
 }
 
-func (n *Node) lacks(child *child) bool {
+// needsService reports whether a child is due a heartbeat or changes.
+func (n *Node) needsService(child *child) bool {
 	if !child.following {
 		return false
 	}
@@ -56,30 +57,32 @@
 	return false
 }
 
+// serveChild sends a child what it lacks, stateful kinds first.
 func (n *Node) serveChild(child *child) {
 	n.serveKinds(child, true)
 	n.serveKinds(child, false)
 }
 
-func (n *Node) serveKinds(child *child, latest bool) {
+// serveKinds sends a child what it lacks of either the stateful or the other kinds, as far as the budgets allow.
+func (n *Node) serveKinds(child *child, stateful bool) {
 	for i := range n.kinds {
-		if n.kinds[i].config.Stateful != latest {
+		if n.kinds[i].config.Stateful != stateful {
 			continue
 		}
 		for n.serveNext(child, Kind(i)) {
-			child.served = n.now
+			child.lastServed = n.now
 		}
 	}
 }
 
-// serveNext sends a child the next message of a kind. It returns false where nothing is lacking, or the budgets have no room.
+// serveNext sends a child the next message of a kind. It returns false if the child lacks nothing or the budgets are used up.
 func (n *Node) serveNext(child *child, kind Kind) bool {
 	at := &child.cursors[kind]
 	if at.position.Compare(n.kinds[kind].head) >= 0 {
 		at.snapshot, at.coarse = false, false
 		return false
 	}
-	next, after := n.nextMessage(child, kind, n.roomFor(child))
+	next, after := n.nextMessage(child, kind, n.allowanceFor(child))
 	if next == nil {
 		n.counters.Deferred++
 		return false
@@ -89,41 +92,42 @@
 	return true
 }
 
-// worthwhileShare is the part of a budget's burst that has to be there for a part of what doesn't fit whole.
-const worthwhileShare = 3
+// minPartialShare is the divisor that gives the part of a budget's burst that must be available for a partial message.
+const minPartialShare = 3
 
-// room is what the budgets allow a message with changes.
-type room struct {
+// allowance is what the budgets allow for a message with changes.
+type allowance struct {
 	bytes int
-	// worthwhile: it is enough to send a part of what doesn't fit whole.
-	worthwhile bool
+	// allowsPartial: there is enough to send a part of what does not fit as a whole.
+	allowsPartial bool
 }
 
-func (n *Node) roomFor(child *child) room {
+// allowanceFor returns what the budgets allow for the next message with changes to a child, besides the reserves.
+func (n *Node) allowanceFor(child *child) allowance {
 	own := child.budget.available(n.now)
-	total := n.children.total.available(n.now) - n.children.total.burst/totalReserveShare
+	total := n.children.totalBudget.available(n.now) - n.children.totalBudget.burst/totalReserveShare
 	bytes := min(own-heartbeatReserve, total, maxMessage)
-	return room{bytes: bytes, worthwhile: bytes >= min(child.budget.burst, maxMessage)/worthwhileShare}
+	return allowance{bytes: bytes, allowsPartial: bytes >= min(child.budget.burst, maxMessage)/minPartialShare}
 }
 
-// nextMessage returns the next message with changes of a kind, with its age still to be set, and the cursor behind it. The
-// message is nil where there is no room for it.
-func (n *Node) nextMessage(child *child, kind Kind, room room) (Message, cursor) {
+// nextMessage returns the next message with changes of a kind, without echo and age, and the cursor after it. The message is
+// nil if the budgets do not allow one.
+func (n *Node) nextMessage(child *child, kind Kind, allowance allowance) (Message, cursor) {
 	at := child.cursors[kind]
 	log := &n.kinds[kind]
-	at = log.classify(at, child.role, n.config.CoarseAfter)
+	at = log.selectMode(at, child.role, n.config.CoarseAfter)
 	switch {
 	case at.snapshot:
-		return log.nextSnapshot(at, kind, child.role, room)
+		return log.nextSnapshot(at, kind, child.role, allowance)
 	case log.needsReset(at, child.role, n.config.CoarseAfter):
-		return log.nextReset(at, kind, child.role, room)
+		return log.nextReset(at, kind, child.role, allowance)
 	case at.coarse:
-		return log.nextPrefixSet(at, kind, room)
+		return log.nextPrefixSet(at, kind, allowance)
 	}
-	return log.nextBatch(at, kind, room)
+	return log.nextBatch(at, kind, allowance)
 }
 
-// withAge sets what a message says of the age of knowledge once it is applied.
+// withAge returns a message with changes with its echo and age set.
 func withAge(message Message, echo Stamp, age time.Duration) Message {
 	switch m := message.(type) {
 	case Batch:
--- a/internal/feed/simulated_network_test.go
+++ b/internal/feed/simulated_network_test.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// simulation runs nodes on a network with virtual time. All that happens follows from its seed.
+// simulation runs nodes on a simulated network in virtual time. It is fully determined by its seed.
 type simulation struct {
 	now    time.Duration
 	random *rand.Rand
-	// publications is apart from random, so that fleets of any size have the same changes.
+	// publications is a separate generator, so that fleets of any size publish the same changes.
 	publications *rand.Rand
-	eventQueue   eventQueue
-	entered      uint64
+	queue        eventQueue
+	scheduled    uint64
 	nodes        []*simulatedNode
 	byName       map[string]*simulatedNode
 	nextPeer     PeerID
 	checker      *checker
-	// isolated are the regions that can't reach others, nor be reached.
+	// isolated holds the regions that are cut off from all others.
 	isolated map[int]bool
-	// slowUntil and slowBy delay what is sent between different regions.
+	// slowBy is added to the latency between regions until slowUntil.
 	slowUntil, slowBy time.Duration
-	// tamper, if set, changes a node's events on their way to the checker.
+	// tamper, if set, modifies the events of a node before the checker sees them.
 	tamper func(node *simulatedNode, events []Event) []Event
-	// restateAge, if set, changes the age that a node states on its way to the checker.
-	restateAge func(node *simulatedNode, age time.Duration) time.Duration
-	// weigh, if set, changes the bytes of a message to a node on their way to the checker.
-	weigh func(node *simulatedNode, bytes int) int
+	// adjustAge, if set, modifies the age reported by a node before the checker sees it.
+	adjustAge func(node *simulatedNode, age time.Duration) time.Duration
+	// adjustBytes, if set, modifies the size of a message to a node before the checker sees it.
+	adjustBytes func(node *simulatedNode, bytes int) int
 }
 
-// simulatedNode is a node with its place in the network.
+// simulatedNode is a node with its process and its place in the network.
 type simulatedNode struct {
 	name   string
 	region int
 	config Config
 	// node is nil while the process is down.
 	node *Node
-	// disk is what a publisher has kept.
+	// disk holds the changes that a publisher has persisted.
 	disk   []Change
 	starts uint64
 	frozen bool
-	// inbox is what came while the process was frozen.
+	// inbox holds what arrived while the process was frozen.
 	inbox []func()
 	peers map[PeerID]*connectionEnd
-	// dials counts attempts, so that only the latest is reported.
+	// dials counts attempts, so that only the latest one is reported.
 	dials  uint64
 	tickAt time.Duration
 }
@@ -57,16 +57,16 @@
 	peer  PeerID
 	other *connectionEnd
 	open  bool
-	// arrival is when the latest message from this end arrives: they stay in order.
+	// arrival is when the latest message from this end arrives, to preserve the order of messages.
 	arrival time.Duration
-	// held is what waits for a cut to heal.
+	// held contains messages that are delayed until a cut ends.
 	held []func()
 }
 
 const (
 	nearLatency = time.Millisecond
 	farLatency  = 60 * time.Millisecond
-	// heldRecheck is how often what waits for a cut to heal is tried again.
+	// heldRecheck is the interval at which delivery of held messages is retried.
 	heldRecheck = 20 * time.Millisecond
 )
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// entry is something to do at a time. Those of the same time keep their order.
+// entry is an action scheduled for a time. Entries for the same time keep their order.
 type entry struct {
 	at     time.Duration
 	number uint64
@@ -103,8 +103,8 @@
 }
 
 func (s *simulation) at(when time.Duration, action func()) {
-	s.entered++
-	heap.Push(&s.eventQueue, entry{at: max(when, s.now), number: s.entered, action: action})
+	s.scheduled++
+	heap.Push(&s.queue, entry{at: max(when, s.now), number: s.scheduled, action: action})
 }
 
 func (s *simulation) after(wait time.Duration, action func()) {
@@ -112,8 +112,8 @@
 }
 
 func (s *simulation) runUntil(end time.Duration) {
-	for len(s.eventQueue) > 0 && s.eventQueue[0].at <= end {
-		next := heap.Pop(&s.eventQueue).(entry)
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		next := heap.Pop(&s.queue).(entry)
 		s.now = next.at
 		next.action()
 	}
@@ -129,7 +129,7 @@
 	return node
 }
 
-// start starts a node's process with what it has on disk.
+// start starts a node's process with the changes on its disk.
 func (s *simulation) start(sn *simulatedNode) {
 	node, err := NewNode(sn.config, sn.disk, s.now)
 	if err != nil {
@@ -161,7 +161,7 @@
 	sn.frozen = true
 }
 
-func (s *simulation) wake(sn *simulatedNode) {
+func (s *simulation) unfreeze(sn *simulatedNode) {
 	if !sn.frozen {
 		return
 	}
@@ -176,14 +176,14 @@
 	}
 }
 
-// run lets a node take something in, and does what it puts out.
+// run passes an input to a node and executes its output.
 func (s *simulation) run(sn *simulatedNode, input func()) {
 	sn.node.Tick(s.now)
 	s.reportAge(sn)
 	input()
-	s.carryOut(sn)
+	s.execute(sn)
 	s.reportAge(sn)
-	s.planTick(sn)
+	s.scheduleTick(sn)
 }
 
 func (s *simulation) reportAge(sn *simulatedNode) {
@@ -191,8 +191,8 @@
 		return
 	}
 	age := sn.node.age()
-	if s.restateAge != nil {
-		age = s.restateAge(sn, age)
+	if s.adjustAge != nil {
+		age = s.adjustAge(sn, age)
 	}
 	s.report(sn, sn.node.output.Events)
 	sn.node.output.Events = nil
@@ -208,7 +208,8 @@
 	}
 }
 
-// deliver hands something to a process, or keeps it while that is frozen. It is dropped where the process has ended.
+// deliver passes an input to a process, or queues it while the process is frozen. Input to a process that has ended is
+// dropped.
 func (s *simulation) deliver(sn *simulatedNode, start uint64, input func()) {
 	switch {
 	case sn.node == nil || sn.starts != start:
@@ -219,12 +220,12 @@
 	}
 }
 
-func (s *simulation) planTick(sn *simulatedNode) {
+func (s *simulation) scheduleTick(sn *simulatedNode) {
 	next := sn.node.NextTick()
 	if next == never || next >= sn.tickAt && sn.tickAt > s.now {
 		return
 	}
-	// A driver's timer is late, and never early.
+	// Timers of a driver may fire late, but never early.
 	next = max(next, s.now) + time.Duration(s.random.IntN(int(time.Millisecond)))
 	sn.tickAt = next
 	start := sn.starts
@@ -236,7 +237,7 @@
 	})
 }
 
-// publish publishes at a node, if it can.
+// publish publishes a change if the node is running.
 func (s *simulation) publish(sn *simulatedNode, kind Kind, key, value []byte) {
 	if sn.node == nil || sn.frozen {
 		return
@@ -248,7 +249,7 @@
 	})
 }
 
-func (s *simulation) carryOut(sn *simulatedNode) {
+func (s *simulation) execute(sn *simulatedNode) {
 	output := sn.node.TakeOutput()
 	for _, change := range output.Persist {
 		sn.disk = append(sn.disk, change)
@@ -269,7 +270,7 @@
 	s.report(sn, output.Events)
 }
 
-// reachable tells whether two nodes' regions can reach each other.
+// reachable reports whether two nodes can currently reach each other.
 func (s *simulation) reachable(a, b *simulatedNode) bool {
 	return a.region == b.region || !s.isolated[a.region] && !s.isolated[b.region]
 }
@@ -329,12 +330,12 @@
 		return
 	}
 	other := end.other
-	s.weighMessage(sn, other, len(envelope.Frame))
+	s.recordBytes(sn, other, len(envelope.Frame))
 	s.transmit(end, func() {
 		s.deliver(other.owner, other.start, func() {
 			message, _, err := DecodeFrame(envelope.Frame, DefaultFrameLimit)
 			if err != nil {
-				s.checker.fail("%s: a frame of %T can't be read: %v", s.now, envelope.Message, err)
+				s.checker.fail("%s: cannot decode a frame of %T: %v", s.now, envelope.Message, err)
 				return
 			}
 			other.owner.node.Receive(other.peer, message)
@@ -342,15 +343,15 @@
 	})
 }
 
-// weighMessage reports the bytes of messages to children. A subscriber that has left a parent is sent more by it until the
-// parent learns of that: this counts for the parent, but doesn't get to the subscriber anymore.
-func (s *simulation) weighMessage(from *simulatedNode, end *connectionEnd, bytes int) {
+// recordBytes passes the bytes of messages to children to the checker. A former parent may still send to a subscriber until
+// it learns of the closed connection: those bytes count for the parent only, because the subscriber does not receive them.
+func (s *simulation) recordBytes(from *simulatedNode, end *connectionEnd, bytes int) {
 	to := end.owner
 	if from.config.Role >= to.config.Role {
 		return
 	}
-	if s.weigh != nil {
-		bytes = s.weigh(to, bytes)
+	if s.adjustBytes != nil {
+		bytes = s.adjustBytes(to, bytes)
 	}
 	s.checker.sent("sent by "+from.name, bytes, from.node.config.TotalBytesPerSecond, s.now)
 	if to.config.Role == Relay {
@@ -364,14 +365,14 @@
 	}
 }
 
-// transmit lets something arrive at the other end, behind what was sent before it.
+// transmit delivers something to the other end after everything that was sent before it.
 func (s *simulation) transmit(end *connectionEnd, arrive func()) {
 	at := max(s.now+s.latency(end.owner, end.other.owner), end.arrival)
 	end.arrival = at
 	s.at(at, func() { s.arrive(end, arrive) })
 }
 
-// arrive holds what arrives for as long as the way is cut, and what comes behind it.
+// arrive holds an arriving message while the regions cannot reach each other, and also the messages after it.
 func (s *simulation) arrive(end *connectionEnd, arrive func()) {
 	if len(end.held) == 0 && s.reachable(end.owner, end.other.owner) {
 		arrive()
@@ -383,7 +384,7 @@
 	}
 }
 
-// release lets what was held arrive, once the way is open again.
+// release delivers the held messages once the regions can reach each other again.
 func (s *simulation) release(end *connectionEnd) {
 	if !s.reachable(end.owner, end.other.owner) {
 		s.after(heldRecheck, func() { s.release(end) })
@@ -396,7 +397,7 @@
 	}
 }
 
-// closeEnd closes a connection at one end. The other end notices behind what was sent before.
+// closeEnd closes a connection at one end. The other end notices after it has received what was sent before.
 func (s *simulation) closeEnd(end *connectionEnd) {
 	if !end.open {
 		return
@@ -414,7 +415,7 @@
 	})
 }
 
-// breakConnections breaks all connections of a node.
+// breakConnections breaks all connections of a node at both ends.
 func (s *simulation) breakConnections(sn *simulatedNode) {
 	for _, peer := range sortedPeers(sn.peers) {
 		end := sn.peers[peer]
