--- a/internal/feed/simulated_plan_test.go
+++ b/internal/feed/simulated_plan_test.go
@@ -14,7 +14,7 @@
 	return slices.Sorted(maps.Keys(peers))
 }
 
-// fault is a kind of fault.
+// fault is a type of fault.
 type fault int
 
 const (
@@ -33,21 +33,21 @@
 	fault fault
 	at    time.Duration
 	lasts time.Duration
-	// node is the name of the node that is hit, region the region.
+	// node is the name of the affected node, region the affected region.
 	node   string
 	region int
-	// by is a delay's length.
-	by time.Duration
+	// by is the added latency of faultDelay.
+	addedLatency time.Duration
 }
 
-// String tells what happens.
+// String describes the fault.
 func (s step) String() string {
 	end := s.at + s.lasts
 	switch s.fault {
 	case faultConnectionLost:
 		return fmt.Sprintf("%s: all connections of %s are lost", s.at, s.node)
 	case faultDelay:
-		return fmt.Sprintf("%s to %s: messages between regions take %s more", s.at, end, s.by)
+		return fmt.Sprintf("%s to %s: messages between regions take %s more", s.at, end, s.addedLatency)
 	case faultParentDead:
 		return fmt.Sprintf("%s to %s: %s is dead", s.at, end, s.node)
 	case faultFrozen:
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s to %s: all are down", s.at, end)
 }
 
-// plan is a fleet, what is published and what goes wrong.
+// plan describes a fleet, the rates of published changes and the faults.
 type plan struct {
 	seed              uint64
 	relays            int
@@ -73,7 +73,7 @@
 	healed time.Duration
 }
 
-// String tells all that is needed to see a plan through.
+// String describes the plan completely.
 func (p plan) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d relays, %d subscribers, window %d, %.1f purges/s, %.2f settings/s\n", p.seed,
@@ -87,17 +87,17 @@
 const (
 	publisherName = "publisher"
 	firstFaultAt  = 3 * time.Second
-	// longCut is the longest that a region is cut off.
+	// longCut is the longest time that a region is cut off.
 	longCut = 2 * time.Minute
-	// designSettingsPerSecond is 1,500 changes of configuration a day.
+	// designSettingsPerSecond is the design rate of 1,500 settings per day.
 	designSettingsPerSecond = 1500.0 / 86400
 )
 
 func relayName(i int) string      { return fmt.Sprintf("relay-%d", i) }
 func subscriberName(i int) string { return fmt.Sprintf("subscriber-%d", i) }
 
-// drawPlan returns the plan of a seed.
-func drawPlan(seed uint64) plan {
+// randomPlan returns the plan of a seed.
+func randomPlan(seed uint64) plan {
 	random := rand.New(rand.NewPCG(seed, 2))
 	p := plan{
 		seed:              seed,
@@ -110,7 +110,7 @@
 	at := firstFaultAt
 	for range 1 + random.IntN(5) {
 		at += time.Duration(random.Int64N(int64(4 * time.Second)))
-		p.steps = append(p.steps, drawStep(random, p, at))
+		p.steps = append(p.steps, randomStep(random, p, at))
 	}
 	for _, step := range p.steps {
 		p.healed = max(p.healed, step.at+step.lasts)
@@ -118,7 +118,7 @@
 	return p
 }
 
-func drawStep(random *rand.Rand, p plan, at time.Duration) step {
+func randomStep(random *rand.Rand, p plan, at time.Duration) step {
 	s := step{fault: fault(random.IntN(int(faultCount))), at: at}
 	span := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(random.Int64N(int64(most-least)))
@@ -134,14 +134,14 @@
 	case faultConnectionLost:
 		s.node = names[random.IntN(len(names))]
 	case faultDelay:
-		s.lasts, s.by = span(time.Second, 10*time.Second), span(50*time.Millisecond, 2*time.Second)
+		s.lasts, s.addedLatency = span(time.Second, 10*time.Second), span(50*time.Millisecond, 2*time.Second)
 	case faultParentDead:
 		s.node, s.lasts = relayName(random.IntN(p.relays)), span(100*time.Millisecond, 10*time.Second)
 	case faultFrozen:
 		s.node, s.lasts = names[random.IntN(len(names))], span(200*time.Millisecond, 10*time.Second)
 	case faultRegionCut:
 		s.region, s.lasts = random.IntN(p.relays), span(500*time.Millisecond, 20*time.Second)
-		// At more changes than the design is for, there is more to catch up with than the budget lets through in time.
+		// Above the design rate, the budget would not suffice to catch up with a longer cut in time.
 		if p.settingsPerSecond <= designSettingsPerSecond && random.IntN(3) == 0 {
 			s.lasts = span(20*time.Second, longCut)
 		}
@@ -151,7 +151,7 @@
 	return s
 }
 
-// planConfig is the part of the configuration that all nodes of a plan share.
+// planConfig returns the part of the configuration that all nodes of a plan share.
 func planConfig(window int) Config {
 	return Config{
 		Cluster: "simulated",
@@ -163,8 +163,8 @@
 	}
 }
 
-// build returns the simulation of a plan, all nodes started. Region 0 has the publisher; a relay and its share of the
-// subscribers are in each region.
+// build returns the simulation of a plan with all nodes started. The publisher is in region 0; each region has one relay
+// and its share of the subscribers.
 func (p plan) build() *simulation {
 	config := planConfig(p.window)
 	s := newSimulation(p.seed, config)
@@ -190,8 +190,8 @@
 	return s
 }
 
-// enact schedules a step's fault and its end.
-func (s *simulation) enact(step step) {
+// schedule schedules the start and the end of a step's fault.
+func (s *simulation) schedule(step step) {
 	s.at(step.at, func() { s.begin(step) })
 	s.at(step.at+step.lasts, func() { s.end(step) })
 }
@@ -201,7 +201,7 @@
 	case faultConnectionLost:
 		s.breakConnections(s.byName[step.node])
 	case faultDelay:
-		s.slowUntil, s.slowBy = step.at+step.lasts, step.by
+		s.slowUntil, s.slowBy = step.at+step.lasts, step.addedLatency
 	case faultParentDead:
 		s.kill(s.byName[step.node])
 	case faultFrozen:
@@ -220,7 +220,7 @@
 func (s *simulation) end(step step) {
 	switch step.fault {
 	case faultFrozen:
-		s.wake(s.byName[step.node])
+		s.unfreeze(s.byName[step.node])
 	case faultRegionCut:
 		delete(s.isolated, step.region)
 	case faultParentDead:
@@ -245,7 +245,7 @@
 	s.start(sn)
 }
 
-// publishUntil schedules publications at random times with a mean rate.
+// publishUntil schedules publications at random intervals with a mean rate.
 func (s *simulation) publishUntil(end time.Duration, kind Kind, perSecond float64) {
 	if perSecond == 0 {
 		return
--- a/internal/feed/simulation_test.go
+++ b/internal/feed/simulation_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// plans is how many plans are drawn, from seed 0 on.
+// plans is the number of plans that TestDrawnPlans runs, from seed 0 on.
 var plans = flag.Uint64("plans", 200, "number of plans drawn by TestDrawnPlans")
 
 const (
-	// currentWithin is how long after the last fault's end everyone has to be current, by which is meant: to know all that
-	// was published until liveDelay ago.
+	// currentWithin is how long after the end of the last fault all nodes must be current, that is, know all changes
+	// published until liveDelay ago.
 	currentWithin = 4 * time.Second
 	liveDelay     = time.Second
 )
 
-// runPlan sees a plan through and returns the simulation after it.
+// runPlan runs a plan and returns the simulation at its end.
 func runPlan(p plan, prepare func(*simulation)) *simulation {
 	s := p.build()
 	if prepare != nil {
 		prepare(s)
 	}
 	for _, step := range p.steps {
-		s.enact(step)
+		s.schedule(step)
 	}
 	end := p.healed + currentWithin
 	s.publishUntil(end, 0, p.settingsPerSecond)
@@ -47,7 +47,7 @@
 
 func TestDrawnPlans(t *testing.T) {
 	for seed := range *plans {
-		p := drawPlan(seed)
+		p := randomPlan(seed)
 		t.Run(strings.SplitN(p.String(), ":", 2)[0], func(t *testing.T) {
 			t.Parallel()
 			s := runPlan(p, nil)
--- a/internal/feed/status.go
+++ b/internal/feed/status.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Status is what a node tells of itself.
+// Status describes the current state of a node.
 type Status struct {
 	Role Role
-	// Epoch is the highest epoch seen. Fenced: this publisher has seen a higher one than its own.
+	// Epoch is the highest epoch seen. Fenced: this publisher has seen a higher epoch than its own.
 	Epoch  uint64
 	Fenced bool
-	// Positions are by kind.
+	// Positions holds the node's position in each kind.
 	Positions []Position
-	// Age is how old the node's knowledge may be at most, or AgeUnknown.
+	// Age is an upper bound on the age of the node's data, or AgeUnknown.
 	Age time.Duration
-	// Parent is the address of the parent that is followed, or empty. Connected: it has accepted this node.
+	// Parent is the address of the current parent, or empty. Connected: that parent has accepted this node.
 	Parent    string
 	Connected bool
-	// Children is how many children are served.
+	// Children is the number of children being served.
 	Children int
 	Counters Counters
 }
 
-// Counters count since the node's start.
+// Counters holds totals since the node was created.
 type Counters struct {
-	// ToChildren and FromChildren, ToParents and FromParents count messages and their bytes as encoded.
+	// Messages and their encoded bytes, by direction.
 	ToChildren, FromChildren, ToParents, FromParents Traffic
-	// Dials counts attempts to connect, ParentsLost connections to a parent that ended without being given up for another.
+	// Dials counts connection attempts. ParentsLost counts connections to a parent that ended other than by switching parents.
 	Dials, ParentsLost uint64
-	// Refused counts children that were turned down.
+	// Refused counts refused children.
 	Refused uint64
-	// Deferred counts the times that changes for a child were put off for want of budget.
+	// Deferred counts how often changes for a child were deferred because the budgets were used up.
 	Deferred uint64
-	// Rehellos counts messages of a parent that didn't fit, so that the node said Hello again.
+	// Resyncs counts messages of a parent that did not follow this node's positions, after which it sent another Hello.
 	Resyncs uint64
 }
 
--- a/internal/feed/watermark.go
+++ b/internal/feed/watermark.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// watermark is a moment on a node's steady clock: all that was published before it is known. The zero watermark is that of
-// a node that has never known all.
+// watermark is a time on a node's monotonic clock: all changes published before it are known. The zero watermark means that
+// the data has never been complete.
 type watermark struct {
 	known bool
 	at    time.Duration
 }
 
-// age returns how old knowledge with this watermark is, in whole milliseconds rounded up, or AgeUnknown.
+// age returns the age of data with this watermark, rounded up to whole milliseconds, or AgeUnknown.
 func (w watermark) age(now time.Duration) time.Duration {
 	if !w.known {
 		return AgeUnknown
@@ -21,7 +21,7 @@
 	return age
 }
 
-// later returns the later of two watermarks. Both hold, so the later one does.
+// later returns the later of two watermarks that both hold for the same data.
 func (w watermark) later(other watermark) watermark {
 	if !w.known || other.known && other.at > w.at {
 		return other
@@ -29,7 +29,7 @@
 	return w
 }
 
-// earlier returns the earlier of two watermarks, where only what both say holds.
+// earlier returns the earlier of two watermarks of different parts of the data, which holds for all of it.
 func (w watermark) earlier(other watermark) watermark {
 	if !w.known || other.known && w.at < other.at {
 		return w
@@ -37,13 +37,13 @@
 	return other
 }
 
-// stampAt returns the time stamp of a moment, rounded down.
+// stampAt returns the timestamp for a time, rounded down to milliseconds.
 func stampAt(now time.Duration) Stamp {
 	return Stamp(now/time.Millisecond) + 1
 }
 
-// watermarkFrom returns what a parent's message says: it was sent after the child had sent the echoed stamp, and what the
-// child knows with it is no older than age at that time.
+// watermarkFrom returns the watermark that a parent's message states: the parent sent the message after the child had sent
+// the echoed timestamp, and the child's data was at most age old at that time.
 func watermarkFrom(echo Stamp, age, now time.Duration) watermark {
 	if echo == 0 || age == AgeUnknown {
 		return watermark{}
