--- a/internal/feed/age_test.go
+++ b/internal/feed/age_test.go
@@ -126,7 +126,7 @@
 		s.runUntil(s.now + step)
 		for _, node := range s.nodes {
 			if node.config.Role == Subscriber {
-				s.checker.current(node.name, s.now-liveDelay, s.now)
+				s.checker.requireCurrent(node.name, s.now-liveDelay, s.now)
 			}
 		}
 	}
@@ -159,14 +159,14 @@
 	}
 	// The burst of 100 purges exceeds what the total budget allows at once.
 	s.publishUntil(10*time.Second, 1, 5)
-	s.at(5*time.Second, func() {
+	s.runAt(5*time.Second, func() {
 		for range 100 {
 			s.publishRandom(1)
 		}
 	})
 	s.runUntil(15 * time.Second)
 	for i := range 10 {
-		s.checker.current(subscriberName(i), s.now, s.now)
+		s.checker.requireCurrent(subscriberName(i), s.now, s.now)
 	}
 	if deferred := s.byName[publisherName].node.Status().Counters.Deferred; deferred == 0 {
 		t.Error("no changes were deferred")
--- a/internal/feed/budget_test.go
+++ b/internal/feed/budget_test.go
@@ -41,7 +41,7 @@
 		size := 1 + random.IntN(500)
 		if size <= b.available(now) {
 			b.take(size)
-			checker.sent("budget", size, perSecond, now)
+			checker.recordSent("budget", size, perSecond, now)
 		}
 	}
 	if len(checker.violations) > 0 {
--- a/internal/feed/catchup_test.go
+++ b/internal/feed/catchup_test.go
@@ -61,8 +61,8 @@
 
 func (c *catchUp) requireConsistent(t *testing.T) {
 	t.Helper()
-	c.s.checker.current("child", c.s.now, c.s.now)
-	c.s.checker.latestState("child", c.s.now)
+	c.s.checker.requireCurrent("child", c.s.now, c.s.now)
+	c.s.checker.requireLatestState("child", c.s.now)
 	for _, violation := range c.s.checker.violations {
 		t.Error(violation)
 	}
--- a/internal/feed/checker_planted_test.go
+++ b/internal/feed/checker_planted_test.go
@@ -13,10 +13,10 @@
 	return plan{
 		seed: 1, relays: 2, subscribers: 6, window: window, purgesPerSecond: 22, settingsPerSecond: 4,
 		steps: []step{
-			{fault: faultRegionCut, at: 5 * time.Second, lasts: 30 * time.Second, region: 1},
-			{fault: faultAllRestart, at: 50 * time.Second, lasts: time.Second},
+			{fault: faultRegionCut, at: 5 * time.Second, duration: 30 * time.Second, region: 1},
+			{fault: faultAllRestart, at: 50 * time.Second, duration: time.Second},
 		},
-		healed: 51 * time.Second,
+		faultsEndAt: 51 * time.Second,
 	}
 }
 
@@ -94,8 +94,8 @@
 			e.Changes = nil
 			return []Event{e}
 		})), "the latest change of its key"},
-		{"understated age", largeWindow, plantYoungAge, "reports an age"},
-		{"too many bytes", largeWindow, plantManyBytes, "bytes within a second"},
+		{"understated age", largeWindow, plantUnderstatedAge, "reports an age"},
+		{"too many bytes", largeWindow, plantExcessBytes, "bytes within a second"},
 		{"never current", largeWindow, plantSilence, "is not current"},
 	}
 	for _, test := range tests {
@@ -170,7 +170,7 @@
 	}
 }
 
-func plantYoungAge(s *simulation) {
+func plantUnderstatedAge(s *simulation) {
 	s.adjustAge = func(node *simulatedNode, age time.Duration) time.Duration {
 		if node.name != subscriberName(1) || age == AgeUnknown {
 			return age
@@ -179,7 +179,7 @@
 	}
 }
 
-func plantManyBytes(s *simulation) {
+func plantExcessBytes(s *simulation) {
 	s.adjustBytes = func(node *simulatedNode, bytes int) int {
 		if node.name != subscriberName(1) {
 			return bytes
--- a/internal/feed/checker_test.go
+++ b/internal/feed/checker_test.go
@@ -51,21 +51,22 @@
 	}
 }
 
-func (c *checker) fail(format string, arguments ...any) {
+func (c *checker) addViolation(format string, arguments ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
-// publish records a published change.
-func (c *checker) publish(change Change, now time.Duration) {
+// recordPublication records a published change.
+func (c *checker) recordPublication(change Change, now time.Duration) {
 	list := c.published[change.Kind]
 	if change.Position.Sequence != uint64(len(list))+1 {
-		c.fail("%s: publication %s of kind %d does not follow the %d before it", now, change.Position, change.Kind, len(list))
+		c.addViolation("%s: publication %s of kind %d does not follow the %d before it", now, change.Position,
+			change.Kind, len(list))
 	}
 	c.published[change.Kind] = append(list, publication{change: change, at: now})
 }
 
-// start records that a node has started without any data.
-func (c *checker) start(node string, role Role) {
+// recordStart records that a node has started without any data.
+func (c *checker) recordStart(node string, role Role) {
 	v := &view{role: role, kinds: make([]kindView, len(c.kinds))}
 	for i := range v.kinds {
 		v.kinds[i].applied = make(map[string]uint64)
@@ -73,26 +74,26 @@
 	c.views[node] = v
 }
 
-// event verifies an event of a node.
-func (c *checker) event(node string, event Event, now time.Duration) {
+// checkEvent verifies an event of a node.
+func (c *checker) checkEvent(node string, event Event, now time.Duration) {
 	var problem string
 	v := c.views[node]
 	switch e := event.(type) {
 	case Applied:
-		problem = c.applied(&v.kinds[e.Change.Kind], e.Change)
+		problem = c.checkApplied(&v.kinds[e.Change.Kind], e.Change)
 	case AppliedSet:
-		problem = c.appliedSet(v, e)
+		problem = c.checkAppliedSet(v, e)
 	case AppliedSnapshot:
-		problem = c.appliedSnapshot(&v.kinds[e.Kind], e)
+		problem = c.checkAppliedSnapshot(&v.kinds[e.Kind], e)
 	case Reset:
-		problem = c.reset(&v.kinds[e.Kind], e)
+		problem = c.checkReset(&v.kinds[e.Kind], e)
 	}
 	if problem != "" {
-		c.fail("%s: %s: %T %s", now, node, event, problem)
+		c.addViolation("%s: %s: %T %s", now, node, event, problem)
 	}
 }
 
-func (c *checker) applied(k *kindView, change Change) string {
+func (c *checker) checkApplied(k *kindView, change Change) string {
 	position := change.Position
 	switch {
 	case position.Compare(k.position) <= 0:
@@ -136,7 +137,7 @@
 	return len(c.published[kind]) - int(at.Sequence)
 }
 
-func (c *checker) appliedSet(v *view, e AppliedSet) string {
+func (c *checker) checkAppliedSet(v *view, e AppliedSet) string {
 	k := &v.kinds[e.Kind]
 	span, problem := c.span(k, e.Kind, e.From, e.To)
 	if problem != "" {
@@ -162,7 +163,7 @@
 	return ""
 }
 
-func (c *checker) appliedSnapshot(k *kindView, e AppliedSnapshot) string {
+func (c *checker) checkAppliedSnapshot(k *kindView, e AppliedSnapshot) string {
 	span, problem := c.span(k, e.Kind, e.From, e.To)
 	if problem != "" {
 		return problem
@@ -208,7 +209,7 @@
 	return ""
 }
 
-func (c *checker) reset(k *kindView, e Reset) string {
+func (c *checker) checkReset(k *kindView, e Reset) string {
 	if _, problem := c.span(k, e.Kind, e.From, e.To); problem != "" {
 		return problem
 	}
@@ -223,15 +224,15 @@
 	return ""
 }
 
-// age verifies that a node does not understate its age.
-func (c *checker) age(node string, stated, now time.Duration) {
+// checkAge verifies that a node does not understate its age.
+func (c *checker) checkAge(node string, reported, now time.Duration) {
 	missing, ok := c.oldestMissing(node)
 	if !ok {
 		return
 	}
-	if truth := now - missing.at; stated < truth {
-		c.fail("%s: %s reports an age of %s, but has lacked %s of kind %d for %s", now, node, stated,
-			missing.change.Position, missing.change.Kind, truth)
+	if actual := now - missing.at; reported < actual {
+		c.addViolation("%s: %s reports an age of %s, but has lacked %s of kind %d for %s", now, node, reported,
+			missing.change.Position, missing.change.Kind, actual)
 	}
 }
 
@@ -260,27 +261,27 @@
 	return oldest, found
 }
 
-// current requires that a node has all changes published up to a given time.
-func (c *checker) current(node string, until, now time.Duration) {
+// requireCurrent requires that a node has all changes published up to a given time.
+func (c *checker) requireCurrent(node string, until, now time.Duration) {
 	if missing, ok := c.oldestMissing(node); ok && missing.at <= until {
-		c.fail("%s: %s is not current: it lacks %s of kind %d, published at %s", now, node, missing.change.Position,
+		c.addViolation("%s: %s is not current: it lacks %s of kind %d, published at %s", now, node, missing.change.Position,
 			missing.change.Kind, missing.at)
 	}
 }
 
-// latestState requires that a node has the latest change of each key.
-func (c *checker) latestState(node string, now time.Duration) {
+// requireLatestState requires that a node has the latest change of each key.
+func (c *checker) requireLatestState(node string, now time.Duration) {
 	for kind, config := range c.kinds {
 		if !config.Stateful {
 			continue
 		}
-		truth := make(map[string]uint64)
+		latest := make(map[string]uint64)
 		for _, publication := range c.published[kind] {
-			truth[string(publication.change.Key)] = publication.change.Position.Sequence
+			latest[string(publication.change.Key)] = publication.change.Position.Sequence
 		}
-		for key, sequence := range truth {
+		for key, sequence := range latest {
 			if got := c.views[node].kinds[kind].applied[key]; got != sequence {
-				c.fail("%s: %s has change %d of key %q, the latest is %d", now, node, got, key, sequence)
+				c.addViolation("%s: %s has change %d of key %q, the latest is %d", now, node, got, key, sequence)
 			}
 		}
 	}
@@ -297,8 +298,8 @@
 	bytes int
 }
 
-// sent records bytes sent under a name and requires that they stay within limit in any second.
-func (c *checker) sent(name string, bytes, limit int, now time.Duration) {
+// recordSent records bytes sent under a name and requires that they stay within limit in any second.
+func (c *checker) recordSent(name string, bytes, limit int, now time.Duration) {
 	window := c.traffic[name]
 	if window == nil {
 		window = &trafficWindow{}
@@ -311,6 +312,6 @@
 	window.sent = append(window.sent, sentBytes{at: now, bytes: bytes})
 	window.sum += bytes
 	if window.sum > limit {
-		c.fail("%s: %s: %d bytes within a second, the limit is %d", now, name, window.sum, limit)
+		c.addViolation("%s: %s: %d bytes within a second, the limit is %d", now, name, window.sum, limit)
 	}
 }
--- a/internal/feed/growth_test.go
+++ b/internal/feed/growth_test.go
@@ -17,10 +17,10 @@
 	p := plan{
 		seed: 7, relays: 4, subscribers: subscribers, window: 30000, purgesPerSecond: 22, settingsPerSecond: 0.5,
 		steps: []step{
-			{fault: faultParentDead, at: 5 * time.Second, lasts: 5 * time.Second, node: relayName(1)},
-			{fault: faultRegionCut, at: 8 * time.Second, lasts: 20 * time.Second, region: 2},
+			{fault: faultRelayDown, at: 5 * time.Second, duration: 5 * time.Second, node: relayName(1)},
+			{fault: faultRegionCut, at: 8 * time.Second, duration: 20 * time.Second, region: 2},
 		},
-		healed: 28 * time.Second,
+		faultsEndAt: 28 * time.Second,
 	}
 	s := runPlan(p, nil)
 	if len(s.checker.violations) > 0 {
--- a/internal/feed/log.go
+++ b/internal/feed/log.go
@@ -100,12 +100,12 @@
 	if p == l.base {
 		return true
 	}
-	index := l.index(p)
+	index := l.recordIndex(p)
 	return index > 0 && l.records[index-1].change.Position == p
 }
 
-// index returns the index of the first record after p's sequence, or -1 if p's sequence is outside the window.
-func (l *kindLog) index(p Position) int {
+// recordIndex returns the index of the first record after p's sequence, or -1 if p's sequence is outside the window.
+func (l *kindLog) recordIndex(p Position) int {
 	if p.Sequence < l.base.Sequence || p.Sequence-l.base.Sequence > uint64(len(l.records)) {
 		return -1
 	}
@@ -114,7 +114,7 @@
 
 // after returns the records that follow p, which must be contained in the window.
 func (l *kindLog) after(p Position) []record {
-	return l.records[l.index(p):]
+	return l.records[l.recordIndex(p):]
 }
 
 // firstContainedAfter returns the earliest contained position later than p, which must be earlier than head.
--- a/internal/feed/region_cut_test.go
+++ b/internal/feed/region_cut_test.go
@@ -58,14 +58,14 @@
 			t.Parallel()
 			for seed := range uint64(5) {
 				s := buildCutFleet(seed, test.relayInside)
-				cut := step{fault: faultRegionCut, at: cutAt, lasts: longCut, region: cutRegion}
+				cut := step{fault: faultRegionCut, at: cutAt, duration: longCut, region: cutRegion}
 				s.schedule(cut)
 				healed := cutAt + longCut
 				s.publishUntil(healed+currentWithin, 0, designSettingsPerSecond)
 				s.publishUntil(healed+currentWithin, 1, purgesPerSecond)
 				s.runUntil(healed + currentWithin)
 				for i := range cutSubscribers {
-					s.checker.current(subscriberName(i), s.now-liveDelay, s.now)
+					s.checker.requireCurrent(subscriberName(i), s.now-liveDelay, s.now)
 				}
 				if len(s.checker.violations) > 0 {
 					t.Fatalf("seed %d: %s and %d more", seed, s.checker.violations[0], len(s.checker.violations)-1)
--- a/internal/feed/relay_loss_test.go
+++ b/internal/feed/relay_loss_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	for _, node := range s.nodes {
 		if node.config.Role == Subscriber {
-			s.checker.current(node.name, s.now-liveDelay, s.now)
+			s.checker.requireCurrent(node.name, s.now-liveDelay, s.now)
 		}
 	}
 	for _, violation := range s.checker.violations {
@@ -49,7 +49,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			s := lossFleet(lostAt + currentWithin)
-			s.at(lostAt, func() { test.lose(s) })
+			s.runAt(lostAt, func() { test.lose(s) })
 			s.runUntil(lostAt + currentWithin)
 			requireCurrent(t, s)
 		})
@@ -64,7 +64,7 @@
 	)
 	s := lossFleet(lostAt + movedWithin)
 	relay := s.byName[relayName(1)]
-	s.at(lostAt, func() {
+	s.runAt(lostAt, func() {
 		// Leave the relay without a publisher but still connected to its subscribers.
 		relay.node.config.Parents[0] = "nowhere"
 		relay.node.upstream.addresses = []string{relayName(2)}
--- a/internal/feed/simulated_network_test.go
+++ b/internal/feed/simulated_network_test.go
@@ -89,26 +89,26 @@
 
 type eventQueue []entry
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].number < a[j].number
-}
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(entry)) }
-func (a *eventQueue) Pop() any {
-	last := (*a)[len(*a)-1]
-	(*a)[len(*a)-1] = entry{}
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(entry)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	(*q)[len(*q)-1] = entry{}
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func (s *simulation) at(when time.Duration, action func()) {
+func (s *simulation) runAt(when time.Duration, action func()) {
 	s.scheduled++
 	heap.Push(&s.queue, entry{at: max(when, s.now), number: s.scheduled, action: action})
 }
 
-func (s *simulation) after(wait time.Duration, action func()) {
-	s.at(s.now+wait, action)
+func (s *simulation) runAfter(wait time.Duration, action func()) {
+	s.runAt(s.now+wait, action)
 }
 
 func (s *simulation) runUntil(end time.Duration) {
@@ -141,7 +141,7 @@
 	sn.inbox = nil
 	sn.peers = make(map[PeerID]*connectionEnd)
 	sn.tickAt = never
-	s.checker.start(sn.name, sn.config.Role)
+	s.checker.recordStart(sn.name, sn.config.Role)
 	s.run(sn, func() {})
 }
 
@@ -196,7 +196,7 @@
 	}
 	s.report(sn, sn.node.output.Events)
 	sn.node.output.Events = nil
-	s.checker.age(sn.name, age, s.now)
+	s.checker.checkAge(sn.name, age, s.now)
 }
 
 func (s *simulation) report(sn *simulatedNode, events []Event) {
@@ -204,7 +204,7 @@
 		events = s.tamper(sn, events)
 	}
 	for _, event := range events {
-		s.checker.event(sn.name, event, s.now)
+		s.checker.checkEvent(sn.name, event, s.now)
 	}
 }
 
@@ -229,7 +229,7 @@
 	next = max(next, s.now) + time.Duration(s.random.IntN(int(time.Millisecond)))
 	sn.tickAt = next
 	start := sn.starts
-	s.at(next, func() {
+	s.runAt(next, func() {
 		if sn.tickAt == next && sn.starts == start {
 			sn.tickAt = never
 			s.deliver(sn, start, func() {})
@@ -244,7 +244,7 @@
 	}
 	s.run(sn, func() {
 		if _, err := sn.node.Publish(kind, key, value); err != nil {
-			s.checker.fail("%s: publish: %v", s.now, err)
+			s.checker.addViolation("%s: publish: %v", s.now, err)
 		}
 	})
 }
@@ -253,7 +253,7 @@
 	output := sn.node.TakeOutput()
 	for _, change := range output.Persist {
 		sn.disk = append(sn.disk, change)
-		s.checker.publish(change, s.now)
+		s.checker.recordPublication(change, s.now)
 	}
 	for _, envelope := range output.Send {
 		s.send(sn, envelope)
@@ -293,7 +293,7 @@
 	if !s.reachable(sn, target) {
 		return
 	}
-	s.after(2*s.latency(sn, target), func() {
+	s.runAfter(2*s.latency(sn, target), func() {
 		if !s.reachable(sn, target) {
 			return
 		}
@@ -335,7 +335,7 @@
 		s.deliver(other.owner, other.start, func() {
 			message, _, err := DecodeFrame(envelope.Frame, DefaultFrameLimit)
 			if err != nil {
-				s.checker.fail("%s: cannot decode a frame of %T: %v", s.now, envelope.Message, err)
+				s.checker.addViolation("%s: cannot decode a frame of %T: %v", s.now, envelope.Message, err)
 				return
 			}
 			other.owner.node.Receive(other.peer, message)
@@ -353,15 +353,15 @@
 	if s.adjustBytes != nil {
 		bytes = s.adjustBytes(to, bytes)
 	}
-	s.checker.sent("sent by "+from.name, bytes, from.node.config.TotalBytesPerSecond, s.now)
+	s.checker.recordSent("sent by "+from.name, bytes, from.node.config.TotalBytesPerSecond, s.now)
 	if to.config.Role == Relay {
-		s.checker.sent(from.name+" to "+to.name, bytes, from.node.config.RelayBytesPerSecond, s.now)
+		s.checker.recordSent(from.name+" to "+to.name, bytes, from.node.config.RelayBytesPerSecond, s.now)
 		return
 	}
 	limit := from.node.config.ChildBytesPerSecond + from.node.config.ChildBurst
-	s.checker.sent(from.name+" to "+to.name, bytes, limit, s.now)
+	s.checker.recordSent(from.name+" to "+to.name, bytes, limit, s.now)
 	if end.open {
-		s.checker.sent("sent to "+to.name, bytes, limit, s.now)
+		s.checker.recordSent("sent to "+to.name, bytes, limit, s.now)
 	}
 }
 
@@ -369,7 +369,7 @@
 func (s *simulation) transmit(end *connectionEnd, arrive func()) {
 	at := max(s.now+s.latency(end.owner, end.other.owner), end.arrival)
 	end.arrival = at
-	s.at(at, func() { s.arrive(end, arrive) })
+	s.runAt(at, func() { s.arrive(end, arrive) })
 }
 
 // arrive holds an arriving message while the regions cannot reach each other, and also the messages after it.
@@ -380,14 +380,14 @@
 	}
 	end.held = append(end.held, arrive)
 	if len(end.held) == 1 {
-		s.after(heldRecheck, func() { s.release(end) })
+		s.runAfter(heldRecheck, func() { s.release(end) })
 	}
 }
 
 // release delivers the held messages once the regions can reach each other again.
 func (s *simulation) release(end *connectionEnd) {
 	if !s.reachable(end.owner, end.other.owner) {
-		s.after(heldRecheck, func() { s.release(end) })
+		s.runAfter(heldRecheck, func() { s.release(end) })
 		return
 	}
 	held := end.held
--- a/internal/feed/simulated_plan_test.go
+++ b/internal/feed/simulated_plan_test.go
@@ -20,7 +20,7 @@
 const (
 	faultConnectionLost fault = iota
 	faultDelay
-	faultParentDead
+	faultRelayDown
 	faultFrozen
 	faultRegionCut
 	faultPublisherRestart
@@ -30,25 +30,25 @@
 
 // step is one fault of a plan.
 type step struct {
-	fault fault
-	at    time.Duration
-	lasts time.Duration
+	fault    fault
+	at       time.Duration
+	duration time.Duration
 	// node is the name of the affected node, region the affected region.
 	node   string
 	region int
-	// by is the added latency of faultDelay.
+	// addedLatency is the latency that faultDelay adds.
 	addedLatency time.Duration
 }
 
 // String describes the fault.
 func (s step) String() string {
-	end := s.at + s.lasts
+	end := s.at + s.duration
 	switch s.fault {
 	case faultConnectionLost:
 		return fmt.Sprintf("%s: all connections of %s are lost", s.at, s.node)
 	case faultDelay:
 		return fmt.Sprintf("%s to %s: messages between regions take %s more", s.at, end, s.addedLatency)
-	case faultParentDead:
+	case faultRelayDown:
 		return fmt.Sprintf("%s to %s: %s is dead", s.at, end, s.node)
 	case faultFrozen:
 		return fmt.Sprintf("%s to %s: %s is frozen", s.at, end, s.node)
@@ -69,8 +69,8 @@
 	purgesPerSecond   float64
 	settingsPerSecond float64
 	steps             []step
-	// healed is when the last fault has ended.
-	healed time.Duration
+	// faultsEndAt is when the last fault has ended.
+	faultsEndAt time.Duration
 }
 
 // String describes the plan completely.
@@ -113,15 +113,15 @@
 		p.steps = append(p.steps, randomStep(random, p, at))
 	}
 	for _, step := range p.steps {
-		p.healed = max(p.healed, step.at+step.lasts)
+		p.faultsEndAt = max(p.faultsEndAt, step.at+step.duration)
 	}
 	return p
 }
 
 func randomStep(random *rand.Rand, p plan, at time.Duration) step {
 	s := step{fault: fault(random.IntN(int(faultCount))), at: at}
-	span := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(random.Int64N(int64(most-least)))
+	span := func(shortest, longest time.Duration) time.Duration {
+		return shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 	}
 	names := []string{publisherName}
 	for i := range p.relays {
@@ -134,19 +134,19 @@
 	case faultConnectionLost:
 		s.node = names[random.IntN(len(names))]
 	case faultDelay:
-		s.lasts, s.addedLatency = span(time.Second, 10*time.Second), span(50*time.Millisecond, 2*time.Second)
-	case faultParentDead:
-		s.node, s.lasts = relayName(random.IntN(p.relays)), span(100*time.Millisecond, 10*time.Second)
+		s.duration, s.addedLatency = span(time.Second, 10*time.Second), span(50*time.Millisecond, 2*time.Second)
+	case faultRelayDown:
+		s.node, s.duration = relayName(random.IntN(p.relays)), span(100*time.Millisecond, 10*time.Second)
 	case faultFrozen:
-		s.node, s.lasts = names[random.IntN(len(names))], span(200*time.Millisecond, 10*time.Second)
+		s.node, s.duration = names[random.IntN(len(names))], span(200*time.Millisecond, 10*time.Second)
 	case faultRegionCut:
-		s.region, s.lasts = random.IntN(p.relays), span(500*time.Millisecond, 20*time.Second)
+		s.region, s.duration = random.IntN(p.relays), span(500*time.Millisecond, 20*time.Second)
 		// Above the design rate, the budget would not suffice to catch up with a longer cut in time.
 		if p.settingsPerSecond <= designSettingsPerSecond && random.IntN(3) == 0 {
-			s.lasts = span(20*time.Second, longCut)
+			s.duration = span(20*time.Second, longCut)
 		}
 	case faultPublisherRestart, faultAllRestart:
-		s.lasts = span(50*time.Millisecond, 5*time.Second)
+		s.duration = span(50*time.Millisecond, 5*time.Second)
 	}
 	return s
 }
@@ -192,17 +192,17 @@
 
 // schedule schedules the start and the end of a step's fault.
 func (s *simulation) schedule(step step) {
-	s.at(step.at, func() { s.begin(step) })
-	s.at(step.at+step.lasts, func() { s.end(step) })
+	s.runAt(step.at, func() { s.startFault(step) })
+	s.runAt(step.at+step.duration, func() { s.endFault(step) })
 }
 
-func (s *simulation) begin(step step) {
+func (s *simulation) startFault(step step) {
 	switch step.fault {
 	case faultConnectionLost:
 		s.breakConnections(s.byName[step.node])
 	case faultDelay:
-		s.slowUntil, s.slowBy = step.at+step.lasts, step.addedLatency
-	case faultParentDead:
+		s.slowUntil, s.slowBy = step.at+step.duration, step.addedLatency
+	case faultRelayDown:
 		s.kill(s.byName[step.node])
 	case faultFrozen:
 		s.freeze(s.byName[step.node])
@@ -217,13 +217,13 @@
 	}
 }
 
-func (s *simulation) end(step step) {
+func (s *simulation) endFault(step step) {
 	switch step.fault {
 	case faultFrozen:
 		s.unfreeze(s.byName[step.node])
 	case faultRegionCut:
 		delete(s.isolated, step.region)
-	case faultParentDead:
+	case faultRelayDown:
 		s.restart(s.byName[step.node])
 	case faultPublisherRestart:
 		s.restart(s.byName[publisherName])
@@ -254,7 +254,7 @@
 	if s.now+wait > end {
 		return
 	}
-	s.after(wait, func() {
+	s.runAfter(wait, func() {
 		s.publishRandom(kind)
 		s.publishUntil(end, kind, perSecond)
 	})
--- a/internal/feed/simulation_test.go
+++ b/internal/feed/simulation_test.go
@@ -26,20 +26,20 @@
 	for _, step := range p.steps {
 		s.schedule(step)
 	}
-	end := p.healed + currentWithin
+	end := p.faultsEndAt + currentWithin
 	s.publishUntil(end, 0, p.settingsPerSecond)
 	s.publishUntil(end, 1, p.purgesPerSecond)
 	s.runUntil(end)
 	for _, node := range s.nodes {
 		if node.config.Role != Publisher {
-			s.checker.current(node.name, s.now-liveDelay, s.now)
+			s.checker.requireCurrent(node.name, s.now-liveDelay, s.now)
 		}
 	}
 	s.runUntil(end + currentWithin)
 	for _, node := range s.nodes {
 		if node.config.Role != Publisher {
-			s.checker.current(node.name, s.now, s.now)
-			s.checker.latestState(node.name, s.now)
+			s.checker.requireCurrent(node.name, s.now, s.now)
+			s.checker.requireLatestState(node.name, s.now)
 		}
 	}
 	return s
