--- a/cmd/larchthread/control_channel_test.go
+++ b/cmd/larchthread/control_channel_test.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	controlNetwork = "unixpacket" // keeps messages apart
-	maxMessage     = 1 << 16      // bytes that a test reads of a message
+	handoverNetwork         = "unixpacket" // preserves message boundaries
+	maxHandoverMessageBytes = 1 << 16      // a longer message is truncated
 )
 
-// newHandoverFleet returns a fleet, not started yet, whose processes find each other in a directory of their own, and what
-// removes that directory.
-func newHandoverFleet(directory string) (f *fleet, remove func()) {
-	f = &fleet{adminAddress: freeAddress(), tempDir: filepath.Join(os.TempDir(), fmt.Sprint(directory, os.Getpid()))}
+// newHandoverFleet returns a fleet that is not started yet, and a function that removes its directory for hand-over sockets. The
+// directory's name is the prefix and the test's process id.
+func newHandoverFleet(prefix string) (f *fleet, remove func()) {
+	f = &fleet{adminAddress: freeAddress(), tempDir: filepath.Join(os.TempDir(), fmt.Sprint(prefix, os.Getpid()))}
 	if err := os.MkdirAll(f.tempDir, 0o700); err != nil {
 		panic(err)
 	}
 	return f, func() { os.RemoveAll(f.tempDir) }
 }
 
-// handoverChannel is a test's end of the control channel between two processes.
+// handoverChannel is the test's end of the connection on which two processes negotiate a hand-over.
 type handoverChannel struct{ net.Conn }
 
-// dialHandover opens a control channel to the running process and begins a hand-over, as a process of some version does that is
-// to take over.
+// dialHandover connects to the running process and sends the hello of a successor with the given protocol version. It panics
+// if it cannot connect.
 func (f *fleet) dialHandover(version int) handoverChannel {
-	c, err := net.Dial(controlNetwork, f.handoverSocketPath())
+	c, err := net.Dial(handoverNetwork, f.handoverSocketPath())
 	if err != nil {
 		panic(err)
 	}
@@ -37,22 +37,22 @@
 	return handoverChannel{c}
 }
 
-// listenHandover takes the place at which a process that starts looks for the running one.
+// listenHandover listens on the socket at which a starting process looks for the running one. It panics if it cannot listen.
 func (f *fleet) listenHandover() net.Listener {
 	os.Remove(f.handoverSocketPath())
-	l, err := net.Listen(controlNetwork, f.handoverSocketPath())
+	l, err := net.Listen(handoverNetwork, f.handoverSocketPath())
 	if err != nil {
 		panic(err)
 	}
 	return l
 }
 
-// receive returns the next message, and nothing where none comes.
+// receive returns the next message, or the empty string if the connection fails or is closed.
 func (c handoverChannel) receive() string {
-	message := make([]byte, maxMessage)
+	message := make([]byte, maxHandoverMessageBytes)
 	n, _ := c.Read(message)
 	return string(message[:n])
 }
 
-// send sends a message.
+// send sends one message and ignores errors.
 func (c handoverChannel) send(message string) { io.WriteString(c, message) }
--- a/cmd/larchthread/control_checker_test.go
+++ b/cmd/larchthread/control_checker_test.go
@@ -10,30 +10,31 @@
 	"larchthread/internal/feed"
 )
 
-// publishedChanges is what has been published, from the publisher's answers.
+// publishedChanges records the changes sent to the publisher and its acknowledgements.
 type publishedChanges struct {
-	mu      sync.Mutex
-	asked   map[string]bool                     // lines that were sent to the publisher
-	changes map[string]map[feed.Position]string // that it has acknowledged: what they say, by kind and position
-	last    map[string]feed.Position            // the highest of these, by kind
+	mu        sync.Mutex
+	requested map[string]bool                     // changes sent to the publisher, as "KIND TEXT"
+	changes   map[string]map[feed.Position]string // text of the acknowledged changes, by kind and position
+	highest   map[string]feed.Position            // highest acknowledged position, by kind
 }
 
 func newPublishedChanges() *publishedChanges {
 	return &publishedChanges{
-		asked:   make(map[string]bool),
-		changes: map[string]map[feed.Position]string{"settings": {}, "purges": {}},
-		last:    make(map[string]feed.Position),
+		requested: make(map[string]bool),
+		changes:   map[string]map[feed.Position]string{"settings": {}, "purges": {}},
+		highest:   make(map[string]feed.Position),
 	}
 }
 
-// addRequested notes that a change is about to be published.
+// addRequested records a change that is about to be sent to the publisher.
 func (p *publishedChanges) addRequested(kind, key, value string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked[kind+" "+changeText(kind, key, value)] = true
+	p.requested[kind+" "+changeText(kind, key, value)] = true
 }
 
-// acknowledge notes the publisher's answer. A position that was given before is an error.
+// acknowledge records the publisher's answer to a change. It returns an error if the publisher refused the change, or assigned
+// a position that another change already has.
 func (p *publishedChanges) acknowledge(kind, key, value, answer string) error {
 	text, ok := strings.CutPrefix(answer, "ok ")
 	if !ok {
@@ -45,17 +46,17 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before, taken := p.changes[kind][position]; taken {
-		return fmt.Errorf("%s %v is %s, and was given to %s before", kind, position, key, before)
+	if previous, exists := p.changes[kind][position]; exists {
+		return fmt.Errorf("%s position %v assigned to %s is already taken by %s", kind, position, key, previous)
 	}
 	p.changes[kind][position] = changeText(kind, key, value)
-	if position.Compare(p.last[kind]) > 0 {
-		p.last[kind] = position
+	if position.Compare(p.highest[kind]) > 0 {
+		p.highest[kind] = position
 	}
 	return nil
 }
 
-// changeText is a change as a follower prints it.
+// changeText returns a change as a follower prints it.
 func changeText(kind, key, value string) string {
 	if kind == "purges" {
 		return fmt.Sprintf("%x", purgeKey(key))
@@ -63,31 +64,31 @@
 	return fmt.Sprintf("%q %q", key, value)
 }
 
-// eventChecker goes through a follower's lines from its start on. It finds versions that are lost, come twice, come out of
-// order, or differ from what was published.
+// eventChecker checks the event lines that a follower prints from its start on. It detects versions that are missing, duplicated,
+// out of order, or different from what was published.
 type eventChecker struct {
-	published  *publishedChanges
-	at         map[string]feed.Position          // by kind: how far it has come
-	applied    map[string]map[feed.Position]bool // by kind: versions that came by themselves
-	seen       map[string]feed.Position          // by kind and text: no two changes of a test are alike
-	settings   map[string]string                 // settings by key, quoted as they were printed
-	setCount   int                               // of prefixes that have come
-	resetCount int                               // that have come
-	fresh      bool
-	staleCount int // how often it became stale
+	published      *publishedChanges
+	positions      map[string]feed.Position          // position reached, by kind
+	applied        map[string]map[feed.Position]bool // versions that arrived as single changes, by kind
+	seen           map[string]feed.Position          // by "KIND TEXT", which is unique within a test
+	settings       map[string]string                 // current values by key, both quoted as printed
+	prefixSetCount int                               // sets of purge prefixes
+	resetCount     int                               // resets of any kind
+	fresh          bool
+	staleCount     int // transitions to stale
 }
 
 func newEventChecker(published *publishedChanges) *eventChecker {
 	return &eventChecker{
 		published: published,
-		at:        make(map[string]feed.Position),
+		positions: make(map[string]feed.Position),
 		applied:   map[string]map[feed.Position]bool{"settings": {}, "purges": {}},
 		seen:      make(map[string]feed.Position),
 		settings:  make(map[string]string),
 	}
 }
 
-// checkLine takes a line.
+// checkLine checks the next line of output.
 func (c *eventChecker) checkLine(line string) error {
 	c.published.mu.Lock()
 	defer c.published.mu.Unlock()
@@ -101,9 +102,9 @@
 		c.fresh = false
 		c.staleCount++
 	case "applied":
-		err = c.takeApplied(words[1], words[2], words[3])
+		err = c.checkApplied(words[1], words[2], words[3])
 	case "snapshot", "set", "reset":
-		err = c.takeRange(words[0], words[1], words[2], words[3])
+		err = c.checkRange(words[0], words[1], words[2], words[3])
 	default:
 		err = errors.New("unknown")
 	}
@@ -113,30 +114,30 @@
 	return nil
 }
 
-// takeApplied takes a version that has to be the next one of its kind.
-func (c *eventChecker) takeApplied(kind, at, text string) error {
-	position, err := parsePosition(at)
+// checkApplied checks a single change: its version has to be the next one of its kind.
+func (c *eventChecker) checkApplied(kind, positionText, text string) error {
+	position, err := parsePosition(positionText)
 	if err != nil {
 		return err
 	}
-	if want := c.at[kind].Sequence + 1; position.Sequence != want || position.Epoch < c.at[kind].Epoch {
-		return fmt.Errorf("comes after %v", c.at[kind])
+	if want := c.positions[kind].Sequence + 1; position.Sequence != want || position.Epoch < c.positions[kind].Epoch {
+		return fmt.Errorf("not the successor of %v", c.positions[kind])
 	}
-	c.at[kind] = position
+	c.positions[kind] = position
 	c.applied[kind][position] = true
-	return c.takeContent(kind, position, text)
+	return c.checkContent(kind, position, text)
 }
 
-// takeContent compares a version with what was published, and keeps it where it is a setting.
-func (c *eventChecker) takeContent(kind string, position feed.Position, text string) error {
-	if acknowledged, is := c.published.changes[kind][position]; is && acknowledged != text {
+// checkContent compares a version with what was published, and stores its value if it is a setting.
+func (c *eventChecker) checkContent(kind string, position feed.Position, text string) error {
+	if acknowledged, ok := c.published.changes[kind][position]; ok && acknowledged != text {
 		return fmt.Errorf("%v was published as %s", position, acknowledged)
 	}
-	if !c.published.asked[kind+" "+text] {
-		return errors.New("nobody published it")
+	if !c.published.requested[kind+" "+text] {
+		return errors.New("it was never published")
 	}
-	if before, is := c.seen[kind+" "+text]; is {
-		return fmt.Errorf("came before, as %v", before)
+	if previous, ok := c.seen[kind+" "+text]; ok {
+		return fmt.Errorf("duplicate of %v", previous)
 	}
 	c.seen[kind+" "+text] = position
 	if kind == "settings" {
@@ -146,8 +147,8 @@
 	return nil
 }
 
-// takeRange takes an event that stands for all versions between two positions.
-func (c *eventChecker) takeRange(what, kind, from, rest string) error {
+// checkRange checks an event that covers all versions between two positions. It has to begin where the last event ended.
+func (c *eventChecker) checkRange(event, kind, from, rest string) error {
 	to, rest, _ := strings.Cut(rest, " ")
 	first, err := parsePosition(from)
 	if err != nil {
@@ -157,23 +158,23 @@
 	if err != nil {
 		return err
 	}
-	if first != c.at[kind] || last.Compare(first) < 0 {
-		return fmt.Errorf("comes at %v", c.at[kind])
+	if first != c.positions[kind] || last.Compare(first) < 0 {
+		return fmt.Errorf("does not continue from %v", c.positions[kind])
 	}
-	c.at[kind] = last
-	switch what {
+	c.positions[kind] = last
+	switch event {
 	case "snapshot":
-		return c.takeSnapshot(kind, first, last, rest)
+		return c.checkSnapshot(kind, first, last, rest)
 	case "set":
-		return c.takeSet(kind, first, last, rest)
+		return c.checkPrefixSet(kind, first, last, rest)
 	case "reset":
 		c.resetCount++
 	}
 	return nil
 }
 
-// takeSnapshot takes a part of the latest settings.
-func (c *eventChecker) takeSnapshot(kind string, first, last feed.Position, rest string) error {
+// checkSnapshot checks a batch of current settings: each position has to be within the batch's range.
+func (c *eventChecker) checkSnapshot(kind string, first, last feed.Position, rest string) error {
 	for _, entry := range strings.Fields(rest) {
 		words := strings.SplitN(entry, ",", 3)
 		position, err := parsePosition(words[0])
@@ -181,20 +182,20 @@
 			return err
 		}
 		if position.Compare(first) <= 0 || position.Compare(last) > 0 {
-			return fmt.Errorf("%v is not in it", position)
+			return fmt.Errorf("position %v is outside the snapshot's range", position)
 		}
-		if err := c.takeContent(kind, position, words[1]+" "+words[2]); err != nil {
+		if err := c.checkContent(kind, position, words[1]+" "+words[2]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// takeSet takes a set of prefixes: it has to cover all purges that were acknowledged in between.
-func (c *eventChecker) takeSet(kind string, first, last feed.Position, rest string) error {
-	c.setCount++
-	bits, list, _ := strings.Cut(rest, " ")
-	width, err := strconv.Atoi(bits)
+// checkPrefixSet checks a set of purge prefixes: it has to cover every acknowledged purge within its range.
+func (c *eventChecker) checkPrefixSet(kind string, first, last feed.Position, rest string) error {
+	c.prefixSetCount++
+	bitsText, list, _ := strings.Cut(rest, " ")
+	prefixBits, err := strconv.Atoi(bitsText)
 	if err != nil {
 		return err
 	}
@@ -203,27 +204,27 @@
 		covered[prefix] = true
 	}
 	for position, hash := range c.published.changes[kind] {
-		within := position.Compare(first) > 0 && position.Compare(last) <= 0
-		if within && !covered[hash[:width/4]] {
-			return fmt.Errorf("%v %s is not covered", position, hash)
+		inRange := position.Compare(first) > 0 && position.Compare(last) <= 0
+		if inRange && !covered[hash[:prefixBits/4]] {
+			return fmt.Errorf("purge at %v with hash %s is not covered", position, hash)
 		}
 	}
 	return nil
 }
 
-// isCurrent tells whether all that was acknowledged has come.
+// isCurrent reports whether the follower has reached the highest acknowledged position of each kind.
 func (c *eventChecker) isCurrent() bool {
 	c.published.mu.Lock()
 	defer c.published.mu.Unlock()
-	for kind, last := range c.published.last {
-		if c.at[kind].Compare(last) < 0 {
+	for kind, last := range c.published.highest {
+		if c.positions[kind].Compare(last) < 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// countMissing counts the acknowledged changes that have not come by themselves.
+// countMissing returns the number of acknowledged changes that did not arrive as single changes.
 func (c *eventChecker) countMissing() int {
 	c.published.mu.Lock()
 	defer c.published.mu.Unlock()
@@ -238,21 +239,22 @@
 	return count
 }
 
-// latestSettings is the latest acknowledged value of each setting, quoted as a follower prints them.
+// latestSettings returns the latest acknowledged value of each setting, by key. Both are quoted as a follower prints them.
 func (p *publishedChanges) latestSettings() map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	latest := make(map[string]string)
-	at := make(map[string]feed.Position)
+	positions := make(map[string]feed.Position)
 	for position, text := range p.changes["settings"] {
 		key, value, _ := strings.Cut(text, " ")
-		if position.Compare(at[key]) > 0 {
-			at[key], latest[key] = position, value
+		if position.Compare(positions[key]) > 0 {
+			positions[key], latest[key] = position, value
 		}
 	}
 	return latest
 }
 
+// parsePosition parses a position written as EPOCH/SEQUENCE.
 func parsePosition(text string) (position feed.Position, err error) {
 	_, err = fmt.Sscanf(text, "%d/%d", &position.Epoch, &position.Sequence)
 	return position, err
--- a/cmd/larchthread/control_config_test.go
+++ b/cmd/larchthread/control_config_test.go
@@ -12,8 +12,9 @@
 	"larchthread/internal/feed"
 )
 
-// controlCheck runs config check on a text, and returns what it says and its exit code.
-func controlCheck(t *testing.T, text string) (said string, code int) {
+// runConfigCheck runs the command config check on a file with the given text, and returns its output and exit code. The output
+// names the file FILE.
+func runConfigCheck(t *testing.T, text string) (message string, code int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "control.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,11 +29,11 @@
 	return strings.ReplaceAll(output.String(), path, "FILE"), code
 }
 
-// Every fault of a control file is named by its key, in one go.
+// config check reports every error of a control file at once, each with its key.
 func TestControlFileFaults(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want []string // what is said of each fault, in order; nothing where the file can be used
+		want []string // prefix of each error, in order; none if the file is valid
 	}{
 		{"control: {cluster: c, id: n, role: publisher, epoch: 1, listen: '127.0.0.1:0', directory: d}", nil},
 		{"control: {cluster: c, id: n, role: relay, parents: ['10.0.0.1:7'], listen: '[::1]:0'}", nil},
@@ -52,42 +53,43 @@
 			"control.batch_ms: -5, want 1 or more"}},
 		{"control: {cluster: c, id: n, role: follower, parents: ['10.0.0.1:7', '10.0.0.1:7']}", []string{
 			"control.parents[1]: is empty or given twice"}},
-		{"control: {cluster: c, id: n, role: relay, parents: ['10.0.0.1:7'], listen: '10.0.0.2:7', silence_ms: 600, child_burst_bytes: 9,\n" +
-			"  settings: {max_value_bytes: 5000}}", []string{"control.silence_ms: has to be at least twice", "control.child_burst_bytes: ",
+		{"control: {cluster: c, id: n, role: relay, parents: ['10.0.0.1:7'], listen: '10.0.0.2:7', silence_ms: 600, " +
+			"child_burst_bytes: 9,\n  settings: {max_value_bytes: 5000}}", []string{
+			"control.silence_ms: has to be at least twice", "control.child_burst_bytes: ",
 			"control.settings.max_value_bytes: has to be 0 to "}},
 	} {
-		said, code := controlCheck(t, c.text)
-		lines := strings.Split(strings.TrimSpace(said), "\n")
+		message, code := runConfigCheck(t, c.text)
+		lines := strings.Split(strings.TrimSpace(message), "\n")
 		if len(c.want) == 0 {
-			if code != 0 || !strings.HasPrefix(said, "FILE: a control file of a ") {
-				t.Errorf("%s: exit code %d: %s", c.text, code, said)
+			if code != 0 || !strings.HasPrefix(message, "FILE: a control file of a ") {
+				t.Errorf("%s: exit code %d: %s", c.text, code, message)
 			}
 			continue
 		}
 		if code != exitFailure || len(lines) != len(c.want) {
-			t.Errorf("%s: exit code %d, want %d faults:\n%s", c.text, code, len(c.want), said)
+			t.Errorf("%s: exit code %d, want %d errors:\n%s", c.text, code, len(c.want), message)
 			continue
 		}
 		for n, line := range lines {
 			if !strings.HasPrefix(line, "control file FILE: "+c.want[n]) {
-				t.Errorf("%s: said %q, want %q", c.text, line, c.want[n])
+				t.Errorf("%s: error %q, want prefix %q", c.text, line, c.want[n])
 			}
 		}
 	}
 }
 
-// The example in deploy can be used, also with all that it has in comments, which are the defaults.
+// The example control file in deploy is valid, and shows the defaults in comments that are valid too.
 func TestControlExample(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/control.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := string(raw)
-	if said, code := controlCheck(t, text); code != 0 ||
-		!strings.Contains(said, "a control file of a publisher in cluster larch, listens on 127.0.0.1:7400") {
-		t.Errorf("exit code %d: %s", code, said)
+	if message, code := runConfigCheck(t, text); code != 0 ||
+		!strings.Contains(message, "a control file of a publisher in cluster larch, listens on 127.0.0.1:7400") {
+		t.Errorf("exit code %d: %s", code, message)
 	}
-	plain, faults := parseControl([]byte(text))
+	example, faults := parseControl([]byte(text))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -97,22 +99,22 @@
 		t.Fatal(faults)
 	}
 	if len(full.Parents) == 0 {
-		t.Error("parents are not shown")
+		t.Error("the example does not show parents")
 	}
 	for _, number := range full.numbers() {
 		if *number.value == 0 {
-			t.Errorf("%s is not shown", number.key)
+			t.Errorf("the example does not show %s", number.key)
 		}
 	}
 	full.Parents = nil
 	if err := full.feedConfig().Validate(); err != nil {
 		t.Error(err)
 	}
-	checkDefaults(t, plain.feedConfig(), full.feedConfig())
+	checkDefaults(t, example.feedConfig(), full.feedConfig())
 }
 
-// checkDefaults compares numbers that are given with the defaults in whose place they stand.
-func checkDefaults(t *testing.T, plain, full feed.Config) {
+// checkDefaults checks that the values in the example's comments are the defaults.
+func checkDefaults(t *testing.T, example, full feed.Config) {
 	t.Helper()
 	for name, pair := range map[string][2]int{
 		"max_children":           {full.MaxChildren, feed.DefaultMaxChildren},
@@ -121,12 +123,12 @@
 		"relay_bytes_per_second": {full.RelayBytesPerSecond, feed.DefaultRelayBytesPerSecond},
 		"total_bytes_per_second": {full.TotalBytesPerSecond, feed.DefaultTotalBytesPerSecond},
 		"coarse_after":           {full.CoarseAfter, feed.DefaultCoarseAfter},
-		"settings.window":        {full.Kinds[settingsKind].Window, plain.Kinds[settingsKind].Window},
-		"settings.max_value":     {full.Kinds[settingsKind].MaxValue, plain.Kinds[settingsKind].MaxValue},
-		"purges.window":          {full.Kinds[purgesKind].Window, plain.Kinds[purgesKind].Window},
+		"settings.window":        {full.Kinds[settingsKind].Window, example.Kinds[settingsKind].Window},
+		"settings.max_value":     {full.Kinds[settingsKind].MaxValue, example.Kinds[settingsKind].MaxValue},
+		"purges.window":          {full.Kinds[purgesKind].Window, example.Kinds[purgesKind].Window},
 	} {
 		if pair[0] != pair[1] {
-			t.Errorf("%s: shown as %d, is %d", name, pair[0], pair[1])
+			t.Errorf("%s: the example shows %d, the default is %d", name, pair[0], pair[1])
 		}
 	}
 	for name, pair := range map[string][2]time.Duration{
@@ -141,7 +143,7 @@
 		"return_jitter_ms": {full.ReturnJitter, feed.DefaultReturnJitter},
 	} {
 		if pair[0] != pair[1] {
-			t.Errorf("%s: shown as %v, is %v", name, pair[0], pair[1])
+			t.Errorf("%s: the example shows %v, the default is %v", name, pair[0], pair[1])
 		}
 	}
 }
--- a/cmd/larchthread/control_fleet_test.go
+++ b/cmd/larchthread/control_fleet_test.go
@@ -19,12 +19,12 @@
 	"larchthread/internal/trial"
 )
 
-// controlWait is for conditions that come true in a small part of it, also on a busy machine.
-const controlWait = 60 * time.Second
+// controlTimeout is how long the tests wait for a condition; it leaves room for a busy machine.
+const controlTimeout = 60 * time.Second
 
-// controlNode is a process of the control command.
+// controlNode is a process that runs the control command.
 type controlNode struct {
-	environment []string // besides the test's own
+	environment []string // added to the test's own environment
 	t           *testing.T
 	name        string
 	config      string
@@ -32,25 +32,26 @@
 	process     *exec.Cmd
 	input       io.WriteCloser
 	log         logBuffer
-	outputEnded chan struct{} // closed when the process's output has ended
+	outputEnded chan struct{} // closed at the end of the process's standard output
 
 	mu    sync.Mutex
-	lines []string // of output, since the process's start
+	lines []string // of standard output since the process started
 }
 
-// controlCluster is a cluster: a publisher, two relays, six followers, and links between them.
+// controlCluster is a publisher, two relays and six followers. Each relay reaches the publisher through a link that can be
+// impaired.
 type controlCluster struct {
 	t           *testing.T
 	directory   string
 	publisher   *controlNode
 	relays      map[string]*controlNode
 	followers   map[string]*controlNode
-	links       map[string]*trial.Link             // to the publisher, by relay
-	linkTargets map[string]*atomic.Pointer[string] // the publisher's address that a relay's link leads to
+	links       map[string]*trial.Link             // by relay
+	linkTargets map[string]*atomic.Pointer[string] // by relay: the publisher's address that the link connects to
 	published   *publishedChanges
 }
 
-// Relays, and followers with their relays by preference. Two followers have one relay alone.
+// The relays, and each follower's relays in order of preference. Two followers have a single relay.
 var (
 	controlRelays  = []string{"a", "b"}
 	controlParents = map[string][]string{
@@ -58,11 +59,11 @@
 	}
 )
 
-// startControlCluster starts the cluster, and returns once all followers are up to date.
+// startControlCluster starts a cluster, and returns once all followers are fresh.
 func startControlCluster(t *testing.T) *controlCluster {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("it starts nine processes")
+		t.Skip("starts nine processes")
 	}
 	c := &controlCluster{
 		t: t, directory: t.TempDir(), relays: make(map[string]*controlNode), followers: make(map[string]*controlNode),
@@ -94,26 +95,27 @@
 		c.followers[name] = node
 		node.start()
 	}
-	c.waitAll("it is fresh", func(checker *eventChecker) bool { return checker.fresh })
+	c.waitFollowers("follower is fresh", func(checker *eventChecker) bool { return checker.fresh })
 	return c
 }
 
-// newNode writes a node's control file. Waits are shorter than usual so that a test does not take long.
-func (c *controlCluster) newNode(name, address, more string) *controlNode {
+// newNode writes the control file of a node, with shorter delays than the defaults, and returns the node. It is not started yet,
+// and is killed at the end of the test.
+func (c *controlCluster) newNode(name, address, options string) *controlNode {
 	c.t.Helper()
 	if address != "" {
-		more += fmt.Sprintf(", listen: %q", address)
+		options += fmt.Sprintf(", listen: %q", address)
 	}
-	text := fmt.Sprintf("control: {cluster: test, id: %s, batch_ms: 50, return_ms: 500, return_jitter_ms: 500, %s}\n", name, more)
+	text := fmt.Sprintf("control: {cluster: test, id: %s, batch_ms: 50, return_ms: 500, return_jitter_ms: 500, %s}\n", name, options)
 	node := &controlNode{t: c.t, name: name, config: filepath.Join(c.directory, name+".yaml"), address: address}
 	if err := os.WriteFile(node.config, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
-	c.t.Cleanup(node.end)
+	c.t.Cleanup(node.cleanup)
 	return node
 }
 
-// start starts the process, and returns once it says that it is ready.
+// start starts the process, and returns once it prints its ready line.
 func (n *controlNode) start() {
 	n.t.Helper()
 	n.mu.Lock()
@@ -134,30 +136,32 @@
 	}
 	n.process, n.input, n.outputEnded = process, input, make(chan struct{})
 	go n.readLines(output, n.outputEnded)
-	n.waitFor("it is ready", func(lines []string) bool {
+	n.waitFor("prints ready", func(lines []string) bool {
 		return len(lines) > 0 && lines[0] == strings.TrimSpace("ready "+n.address)
 	})
 }
 
-// command is the process's command line, with the node's environment.
+// command returns the node's command, with its arguments and environment.
 func (n *controlNode) command() *exec.Cmd {
 	command := exec.Command(os.Args[0], "control", "--config", n.config)
 	command.Env = append(append(os.Environ(), "LARCHTHREAD_SERVE=1"), n.environment...)
 	return command
 }
 
-// runToFailure runs a process that is to end by itself, with an error.
-func (n *controlNode) runToFailure() (said string, err error) {
+// runToFailure runs the process to its end, and returns its output and error. The test fails unless the exit code is
+// exitFailure.
+func (n *controlNode) runToFailure() (output string, err error) {
 	n.t.Helper()
 	text, err := n.command().CombinedOutput()
-	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitFailure {
+	if exitErr := (*exec.ExitError)(nil); !errors.As(err, &exitErr) || exitErr.ExitCode() != exitFailure {
 		n.t.Errorf("%s: %v, want exit code %d", n.name, err, exitFailure)
 	}
 	return string(text), err
 }
 
-func (n *controlNode) readLines(output io.Reader, read chan<- struct{}) {
-	defer close(read)
+// readLines appends the lines of output to the node's until the output ends, then closes done.
+func (n *controlNode) readLines(output io.Reader, done chan<- struct{}) {
+	defer close(done)
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
@@ -167,31 +171,31 @@
 	}
 }
 
-// output is the lines since the process's start.
+// output returns the lines of standard output since the process started.
 func (n *controlNode) output() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.lines[:len(n.lines):len(n.lines)]
 }
 
-// waitFor waits until the lines are as they should be.
-func (n *controlNode) waitFor(what string, holds func(lines []string) bool) {
+// waitFor waits until the output satisfies a condition, and fails the test after controlTimeout.
+func (n *controlNode) waitFor(description string, condition func(lines []string) bool) {
 	n.t.Helper()
-	waitUntil(n.t, n.name+": "+what, func() bool { return holds(n.output()) }, func() string {
+	waitUntil(n.t, n.name+": "+description, func() bool { return condition(n.output()) }, func() string {
 		lines := n.output()
-		return fmt.Sprintf("its last lines: %q\nits log:\n%s", lines[max(0, len(lines)-5):], &n.log)
+		return fmt.Sprintf("last lines of output: %q\nlog:\n%s", lines[max(0, len(lines)-5):], &n.log)
 	})
 }
 
-// waitUntil waits for a condition, and ends the test where it does not come true.
-func waitUntil(t *testing.T, what string, holds func() bool, found func() string) {
+// waitUntil waits until a condition holds. After controlTimeout it fails the test with the description and the text of diagnose.
+func waitUntil(t *testing.T, description string, condition func() bool, diagnose func() string) {
 	t.Helper()
-	for end := time.Now().Add(controlWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if holds() {
+	for deadline := time.Now().Add(controlTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s\n%s", what, found())
+	t.Fatalf("timed out waiting until %s\n%s", description, diagnose())
 }
 
 // signal sends the process a signal.
@@ -202,7 +206,7 @@
 	}
 }
 
-// kill ends the process at once, and returns when all that it had written has been read.
+// kill kills the process, and returns once all of its output has been read.
 func (n *controlNode) kill() {
 	n.t.Helper()
 	n.signal(syscall.SIGKILL)
@@ -211,7 +215,7 @@
 	n.process = nil
 }
 
-// terminate ends the process in good order.
+// terminate stops the process with SIGTERM. The test fails unless its exit code is 0.
 func (n *controlNode) terminate() {
 	n.t.Helper()
 	n.signal(syscall.SIGTERM)
@@ -222,8 +226,8 @@
 	n.process = nil
 }
 
-// end kills the process at the test's end, if it still runs.
-func (n *controlNode) end() {
+// cleanup kills the process if it is still running.
+func (n *controlNode) cleanup() {
 	if n.process != nil {
 		n.process.Process.Kill()
 		<-n.outputEnded
@@ -231,8 +235,8 @@
 	}
 }
 
-// checker checks a follower's lines as far as they have come, from its start on.
-func (c *controlCluster) checker(name string) *eventChecker {
+// checkOutput checks all lines that a follower has printed since its start, and returns the checker's state.
+func (c *controlCluster) checkOutput(name string) *eventChecker {
 	c.t.Helper()
 	checker := newEventChecker(c.published)
 	for _, line := range c.followers[name].output() {
@@ -243,8 +247,8 @@
 	return checker
 }
 
-// waitAll waits until a condition holds for the named followers, or all of them.
-func (c *controlCluster) waitAll(what string, holds func(*eventChecker) bool, names ...string) {
+// waitFollowers waits until a condition holds for each of the named followers, or for all followers if none is named.
+func (c *controlCluster) waitFollowers(description string, condition func(*eventChecker) bool, names ...string) {
 	c.t.Helper()
 	if len(names) == 0 {
 		for name := range c.followers {
@@ -252,12 +256,15 @@
 		}
 	}
 	for _, name := range names {
-		c.followers[name].waitFor(what, func([]string) bool { return holds(c.checker(name)) })
+		c.followers[name].waitFor(description, func([]string) bool { return condition(c.checkOutput(name)) })
 	}
 }
 
-// waitCurrent waits until followers have all that was acknowledged, and know that it is fresh.
+// waitCurrent waits until each of the named followers, or all if none is named, has reached every acknowledged change and is
+// fresh.
 func (c *controlCluster) waitCurrent(names ...string) {
 	c.t.Helper()
-	c.waitAll("it is current", func(checker *eventChecker) bool { return checker.fresh && checker.isCurrent() }, names...)
+	c.waitFollowers("follower is current", func(checker *eventChecker) bool {
+		return checker.fresh && checker.isCurrent()
+	}, names...)
 }
--- a/cmd/larchthread/control_spoilt_test.go
+++ b/cmd/larchthread/control_spoilt_test.go
@@ -12,50 +12,50 @@
 	"testing"
 )
 
-// A publisher whose disk fails answers with an error and ends, with its exit code. Started again it has what it had
-// acknowledged, and goes on.
+// A publisher whose disk fails answers with an error and exits with exitFailure. After a restart it still has the changes that
+// it had acknowledged, and accepts new ones.
 func TestSpoiltPublisher(t *testing.T) {
-	for _, how := range []string{"write", "sync", "full"} {
+	for _, fault := range []string{"write", "sync", "full"} {
 		c := &controlCluster{t: t, directory: t.TempDir()}
 		publisher := c.newNode("publisher", freeAddress(), "role: publisher, epoch: 1, directory: "+c.directory)
 		socket := filepath.Join(c.directory, "faults")
 		publisher.environment = []string{"LARCHTHREAD_FAULTS=" + socket}
 		publisher.start()
-		answer := func(line, want string) {
+		checkAnswer := func(line, want string) {
 			t.Helper()
-			said := len(publisher.output())
+			before := len(publisher.output())
 			if _, err := io.WriteString(publisher.input, line+"\n"); err != nil {
 				t.Fatal(err)
 			}
-			publisher.waitFor("an answer", func(lines []string) bool { return len(lines) > said })
-			if got := publisher.output()[said]; !strings.HasPrefix(got, want) {
-				t.Errorf("disk %s: %q: said %q, want %q", how, line, got, want)
+			publisher.waitFor("an answer arrives", func(lines []string) bool { return len(lines) > before })
+			if got := publisher.output()[before]; !strings.HasPrefix(got, want) {
+				t.Errorf("disk %s: %q: answer %q, want prefix %q", fault, line, got, want)
 			}
 		}
-		answer("settings key first", "ok 1/1")
-		spoilDisk(t, socket, how)
-		answer("settings key second", "error feednet: publisher's log: ")
+		checkAnswer("settings key first", "ok 1/1")
+		setDiskFault(t, socket, fault)
+		checkAnswer("settings key second", "error feednet: publisher's log: ")
 		<-publisher.outputEnded
 		if err := publisher.process.Wait(); err == nil || publisher.process.ProcessState.ExitCode() != exitFailure {
-			t.Errorf("disk %s: it ended with %v, want exit code %d", how, err, exitFailure)
+			t.Errorf("disk %s: publisher exited with %v, want exit code %d", fault, err, exitFailure)
 		}
 		publisher.process = nil
 		publisher.start()
-		answer("purges object", "ok 1/1")
+		checkAnswer("purges object", "ok 1/1")
 		publisher.terminate()
 	}
 }
 
-// spoilDisk tells a process how its disk fails from here on.
-func spoilDisk(t *testing.T, socket, how string) {
+// setDiskFault sets how a process's disk fails from now on, over the process's fault socket.
+func setDiskFault(t *testing.T, socket, fault string) {
 	t.Helper()
 	conn, err := net.Dial("unix", socket)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	fmt.Fprintln(conn, "disk", how)
-	if said, err := bufio.NewReader(conn).ReadString('\n'); said != "ok\n" {
-		t.Fatalf("disk %s: %q %v", how, said, err)
+	fmt.Fprintln(conn, "disk", fault)
+	if reply, err := bufio.NewReader(conn).ReadString('\n'); reply != "ok\n" {
+		t.Fatalf("disk %s: reply %q, error %v", fault, reply, err)
 	}
 }
--- a/cmd/larchthread/control_test.go
+++ b/cmd/larchthread/control_test.go
@@ -13,43 +13,44 @@
 	"larchthread/internal/trial"
 )
 
-// settingsKeys is how many settings the tests change, over and over.
-const settingsKeys = 7
+// settingsKeyCount is the number of distinct settings that the tests change repeatedly.
+const settingsKeyCount = 7
 
-// testChange is a change that a test publishes.
+// testChange is a change that a test publishes: a setting, or a purge, which has no value.
 type testChange struct {
 	kind, key, value string
 }
 
-// line is what the publisher reads.
-func (c testChange) line() string {
+// inputLine returns the change as a line of the publisher's standard input.
+func (c testChange) inputLine() string {
 	return strings.TrimSpace(c.kind+" "+c.key+" "+c.value) + "\n"
 }
 
-// testChanges are changes that differ from all others of a test by their label: a setting, then three purges, and so on.
-func testChanges(label string, number int) []testChange {
+// testChanges returns count changes, of which every fourth is a setting and the others are purges. A label that is unique within
+// the test keeps them distinct.
+func testChanges(label string, count int) []testChange {
 	var changes []testChange
-	for n := range number {
+	for n := range count {
 		change := testChange{kind: "purges", key: fmt.Sprintf("object-%s-%d", label, n)}
 		if n%4 == 0 {
-			change = testChange{"settings", fmt.Sprint("key", n/4%settingsKeys), fmt.Sprintf("%s-%d", label, n)}
+			change = testChange{"settings", fmt.Sprint("key", n/4%settingsKeyCount), fmt.Sprintf("%s-%d", label, n)}
 		}
 		changes = append(changes, change)
 	}
 	return changes
 }
 
-// publishing is changes on their way through the publisher's standard input.
-type publishing struct {
-	control *controlCluster
-	changes []testChange
-	first   int // of its answers among the publisher's lines
-	written chan struct{}
+// publication is a sequence of changes being written to the publisher's standard input.
+type publication struct {
+	cluster     *controlCluster
+	changes     []testChange
+	firstAnswer int           // index of the first answer in the publisher's output
+	written     chan struct{} // closed when all changes are written, or writing has failed
 }
 
-// startPublishing sends the publisher changes without waiting for its answers.
-func (c *controlCluster) startPublishing(changes []testChange) *publishing {
-	p := &publishing{control: c, changes: changes, first: len(c.publisher.output()), written: make(chan struct{})}
+// startPublishing writes changes to the publisher in the background, without waiting for its answers.
+func (c *controlCluster) startPublishing(changes []testChange) *publication {
+	p := &publication{cluster: c, changes: changes, firstAnswer: len(c.publisher.output()), written: make(chan struct{})}
 	for _, change := range changes {
 		c.published.addRequested(change.kind, change.key, change.value)
 	}
@@ -57,7 +58,7 @@
 	go func() {
 		defer close(p.written)
 		for _, change := range changes {
-			if _, err := io.WriteString(input, change.line()); err != nil {
+			if _, err := io.WriteString(input, change.inputLine()); err != nil {
 				return // the publisher was killed
 			}
 		}
@@ -65,69 +66,70 @@
 	return p
 }
 
-// answers are those that have come.
-func (p *publishing) answers() []string {
-	return p.control.publisher.output()[p.first:]
+// answers returns the publisher's answers so far.
+func (p *publication) answers() []string {
+	return p.cluster.publisher.output()[p.firstAnswer:]
 }
 
-// waitAnswers waits until so many answers have come.
-func (p *publishing) waitAnswers(number int) {
-	p.control.t.Helper()
-	p.control.publisher.waitFor("its answers", func([]string) bool { return len(p.answers()) >= number })
+// waitAnswers waits until at least count answers have arrived.
+func (p *publication) waitAnswers(count int) {
+	p.cluster.t.Helper()
+	p.cluster.publisher.waitFor("answers arrive", func([]string) bool { return len(p.answers()) >= count })
 }
 
-// finish notes the answers that have come. Where the publisher was killed they are not all.
-func (p *publishing) finish() {
-	p.control.t.Helper()
+// acknowledgeAnswers waits until writing has ended, and records the answers that have arrived. Some are missing if the publisher
+// was killed.
+func (p *publication) acknowledgeAnswers() {
+	p.cluster.t.Helper()
 	<-p.written
 	for n, answer := range p.answers() {
 		change := p.changes[n]
-		if err := p.control.published.acknowledge(change.kind, change.key, change.value, answer); err != nil {
-			p.control.t.Fatal(err)
+		if err := p.cluster.published.acknowledge(change.kind, change.key, change.value, answer); err != nil {
+			p.cluster.t.Fatal(err)
 		}
 	}
 }
 
-// publish publishes changes and waits for all answers.
+// publish publishes changes, and waits for all answers and records them.
 func (c *controlCluster) publish(changes []testChange) {
 	c.t.Helper()
 	p := c.startPublishing(changes)
 	p.waitAnswers(len(changes))
-	p.finish()
+	p.acknowledgeAnswers()
 }
 
-// checkComplete has no acknowledged change missing at followers that were never too far behind for single changes.
+// checkComplete checks that the named followers received every acknowledged change as a single change.
 func (c *controlCluster) checkComplete(names ...string) {
 	c.t.Helper()
 	for _, name := range names {
-		if missing := c.checker(name).countMissing(); missing > 0 {
-			c.t.Errorf("%s: %d changes did not come by themselves", name, missing)
+		if missing := c.checkOutput(name).countMissing(); missing > 0 {
+			c.t.Errorf("%s: %d changes did not arrive as single changes", name, missing)
 		}
 	}
 }
 
-// checkSettings compares what all followers have of settings with the latest that were acknowledged.
+// checkSettings checks that every follower has the latest acknowledged value of each setting.
 func (c *controlCluster) checkSettings() {
 	c.t.Helper()
 	want := c.published.latestSettings()
 	for name := range c.followers {
-		if got := c.checker(name).settings; !maps.Equal(got, want) {
+		if got := c.checkOutput(name).settings; !maps.Equal(got, want) {
 			c.t.Errorf("%s has the settings %v, want %v", name, got, want)
 		}
 	}
 }
 
-// A relay is killed while changes flow: its followers go on with the other one, and miss nothing. Once it is back its
-// other follower has caught up, too.
+// When a relay is killed during publishing, followers with a second relay miss no change. A follower with that relay alone
+// catches up after the restart.
 func TestControlRelayKilled(t *testing.T) {
 	c := startControlCluster(t)
 	c.publish(testChanges("before", 40))
 	c.waitCurrent()
-	amid := c.startPublishing(testChanges("amid", 100))
-	amid.waitAnswers(30)
+	concurrent := c.startPublishing(testChanges("amid", 100))
+	concurrent.waitAnswers(30)
 	c.relays["a"].kill()
-	amid.waitAnswers(100)
-	amid.finish()
+	concurrent.waitAnswers(100)
+	concurrent.acknowledgeAnswers()
 	c.publish(testChanges("without", 40))
 	c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
 	c.checkComplete("f1", "f2", "f3", "f4", "onlyb")
@@ -136,23 +138,25 @@
 	c.checkSettings()
 }
 
-// The link between a relay and the publisher fails, by resets and by silence. A follower that has this relay alone knows
-// that it is stale, though the relay lives; those with a second one are current by it. After the heal all are.
+// When a relay loses its link to the publisher, by resets or by dropped packets, a follower with that relay alone reports that it
+// is stale, and followers with a second relay stay current. Once the link works again all become current.
 func TestControlRelayCutOff(t *testing.T) {
 	c := startControlCluster(t)
 	link := c.links["a"]
-	hole := func(on bool) {
+	setHole := func(on bool) {
 		link.Set(trial.Out, trial.Impairment{Hole: on})
 		link.Set(trial.Back, trial.Impairment{Hole: on})
 	}
 	for _, fault := range []struct {
 		name string
 		set  func(on bool)
-	}{{"cut", link.Cut}, {"hole", hole}} {
-		stales := c.checker("onlya").staleCount
+	}{{"cut", link.Cut}, {"hole", setHole}} {
+		staleCount := c.checkOutput("onlya").staleCount
 		fault.set(true)
 		c.publish(testChanges(fault.name, 100))
-		c.waitAll("it is stale", func(checker *eventChecker) bool { return !checker.fresh && checker.staleCount > stales }, "onlya")
+		c.waitFollowers("follower is stale", func(checker *eventChecker) bool {
+			return !checker.fresh && checker.staleCount > staleCount
+		}, "onlya")
 		c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
 		fault.set(false)
 		c.waitCurrent()
@@ -161,10 +165,10 @@
 	c.checkSettings()
 }
 
-// More is published during a cut than a follower is sent one by one. What it gets instead covers all of it.
+// A follower too far behind to get single changes gets sets of purge prefixes that cover all that it missed.
 func TestControlFarBehind(t *testing.T) {
 	c := startControlCluster(t)
-	c.publish(testChanges("before", 40)) // who knows nothing gets a reset in place of sets
+	c.publish(testChanges("before", 40)) // a follower without any state would get a reset instead of sets
 	c.waitCurrent()
 	c.links["a"].Cut(true)
 	c.publish(testChanges("cut", 1200))
@@ -172,12 +176,14 @@
 	c.links["a"].Cut(false)
 	c.waitCurrent()
 	c.checkSettings()
-	if checker := c.checker("onlya"); checker.setCount == 0 || checker.resetCount > 0 {
-		t.Errorf("the follower that was cut off got %d sets of prefixes, want some, and %d resets, want none", checker.setCount, checker.resetCount)
+	if checker := c.checkOutput("onlya"); checker.prefixSetCount == 0 || checker.resetCount > 0 {
+		t.Errorf("the follower behind the cut got %d sets of prefixes, want some, and %d resets, want none",
+			checker.prefixSetCount, checker.resetCount)
 	}
 }
 
-// A relay is stopped and woken again, with changes meanwhile.
+// When a relay is suspended during publishing, followers with a second relay stay current, and the one without reports that it is
+// stale. All become current after the relay resumes.
 func TestControlRelayFrozen(t *testing.T) {
 	c := startControlCluster(t)
 	c.publish(testChanges("before", 40))
@@ -185,7 +191,7 @@
 	c.relays["a"].signal(syscall.SIGSTOP)
 	c.publish(testChanges("frozen", 100))
 	c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
-	c.waitAll("it is stale", func(checker *eventChecker) bool { return !checker.fresh }, "onlya")
+	c.waitFollowers("follower is stale", func(checker *eventChecker) bool { return !checker.fresh }, "onlya")
 	c.relays["a"].signal(syscall.SIGCONT)
 	c.waitCurrent()
 	c.publish(testChanges("woken", 40))
@@ -194,8 +200,8 @@
 	c.checkSettings()
 }
 
-// The publisher is killed amid publishing, twice, and goes on from its log: each change that it has acknowledged comes to
-// all followers, none twice. Links to it are slow, and one breaks amid a message.
+// When the publisher is killed during publishing and restarted from its log, every acknowledged change reaches all followers
+// exactly once, over slow links of which one breaks in the middle of a message.
 func TestControlPublisherKilled(t *testing.T) {
 	c := startControlCluster(t)
 	slow := trial.Impairment{Delay: milliseconds(30), Jitter: milliseconds(10)}
@@ -203,30 +209,31 @@
 		c.links[name].Set(trial.Back, slow)
 	}
 	for round := range 2 {
-		amid := c.startPublishing(testChanges(fmt.Sprint("amid", round), 2000))
-		amid.waitAnswers(40)
+		concurrent := c.startPublishing(testChanges(fmt.Sprint("amid", round), 2000))
+		concurrent.waitAnswers(40)
 		c.publisher.kill()
-		amid.finish()
+		concurrent.acknowledgeAnswers()
 		c.publisher.start()
-		c.breakAmidMessage("b")
-		c.publish(testChanges(fmt.Sprint("after", round), 4*settingsKeys))
+		c.breakConnectionMidMessage("b")
+		c.publish(testChanges(fmt.Sprint("after", round), 4*settingsKeyCount))
 		c.links["b"].Set(trial.Back, slow)
 		c.waitCurrent()
 	}
 	c.checkSettings()
 }
 
-// breakAmidMessage has connections from a relay to the publisher break some bytes after their begin, and waits until one has.
-func (c *controlCluster) breakAmidMessage(relay string) {
+// breakConnectionMidMessage makes each connection from a relay to the publisher break after a number of bytes, and waits until
+// one has broken.
+func (c *controlCluster) breakConnectionMidMessage(relay string) {
 	c.t.Helper()
-	const bytes = 300
-	lost := func() int { return strings.Count(c.relays[relay].log.String(), "connection lost") }
-	before := lost()
-	c.links[relay].Set(trial.Back, trial.Impairment{Sever: bytes})
-	waitUntil(c.t, "a connection breaks", func() bool { return lost() > before }, c.relays[relay].log.String)
+	const severAfterBytes = 300
+	lostConnections := func() int { return strings.Count(c.relays[relay].log.String(), "connection lost") }
+	before := lostConnections()
+	c.links[relay].Set(trial.Back, trial.Impairment{Sever: severAfterBytes})
+	waitUntil(c.t, "a connection is lost", func() bool { return lostConnections() > before }, c.relays[relay].log.String)
 }
 
-// All processes end in good order and are started again, followers first. The settings are there again, and changes flow.
+// After an orderly restart of all processes, followers first, the settings are restored and new changes arrive.
 func TestControlAllRestarted(t *testing.T) {
 	c := startControlCluster(t)
 	c.publish(testChanges("before", 60))
@@ -249,8 +256,8 @@
 	c.checkSettings()
 }
 
-// Another publisher with a higher epoch goes on from a copy of the log. The old one, back again, is refused by whoever knows
-// the new one, and can publish nothing more.
+// A publisher with a higher epoch continues from a copy of the log. When the old publisher returns, nodes that know the new one
+// reject it, and it can publish nothing more.
 func TestControlPublisherReplaced(t *testing.T) {
 	c := startControlCluster(t)
 	c.publish(testChanges("first", 40))
@@ -276,11 +283,11 @@
 	old.start()
 	c.links["a"].Cut(true)
 	c.links["a"].Cut(false)
-	old.waitFor("it is fenced", func(said []string) bool {
+	old.waitFor("old publisher is fenced", func(answers []string) bool {
 		if _, err := io.WriteString(old.input, "purges never\n"); err != nil {
 			t.Fatal(err)
 		}
-		return strings.HasPrefix(said[len(said)-1], "error feed: a publisher with a higher epoch")
+		return strings.HasPrefix(answers[len(answers)-1], "error feed: a publisher with a higher epoch")
 	})
 	c.publish(testChanges("third", 40))
 	c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
@@ -290,8 +297,8 @@
 	c.checkSettings()
 }
 
-// The publisher answers each line, also those that it can't use, and a second one does not start on its log.
-func TestControlPublisherLines(t *testing.T) {
+// The publisher answers every line of input, invalid ones too. A second publisher with the same directory does not start.
+func TestControlPublisherAnswersEachLine(t *testing.T) {
 	c := &controlCluster{t: t, directory: t.TempDir()}
 	publisher := c.newNode("publisher", freeAddress(), "role: publisher, epoch: 3, directory: "+c.directory)
 	publisher.start()
@@ -300,19 +307,19 @@
 	if _, err := io.WriteString(publisher.input, strings.Join(lines, "\n")+"\n"); err != nil {
 		t.Fatal(err)
 	}
-	publisher.waitFor("its answers", func(said []string) bool { return len(said) == 1+len(lines) })
+	publisher.waitFor("every line is answered", func(output []string) bool { return len(output) == 1+len(lines) })
 	want := []string{"ok 3/1", "ok 3/1", `error "settings limit", want`, `error "purges two words", want`, `error "fly", want`,
 		`error "", want`, "error feed: value is longer", "ok 3/2"}
-	for n, said := range publisher.output()[1:] {
-		if !strings.HasPrefix(said, want[n]) {
-			t.Errorf("%q: said %q, want %q", lines[n], said, want[n])
+	for n, answer := range publisher.output()[1:] {
+		if !strings.HasPrefix(answer, want[n]) {
+			t.Errorf("%q: answer %q, want prefix %q", lines[n], answer, want[n])
 		}
 	}
 	second := c.newNode("second", freeAddress(), "role: publisher, epoch: 4, directory: "+c.directory)
-	if said, err := second.runToFailure(); !strings.Contains(said, "in use by another publisher") {
-		t.Errorf("a second publisher: %v\n%s", err, said)
+	if output, err := second.runToFailure(); !strings.Contains(output, "in use by another publisher") {
+		t.Errorf("a second publisher: %v\n%s", err, output)
 	}
-	if err := publisher.input.Close(); err != nil { // as where standard input is /dev/null
+	if err := publisher.input.Close(); err != nil { // the publisher has to keep running, as with /dev/null as its input
 		t.Fatal(err)
 	}
 	publisher.terminate()
