--- a/cmd/larchthread/scale_feed_test.go
+++ b/cmd/larchthread/scale_feed_test.go
@@ -12,8 +12,8 @@
 	"larchthread/internal/feed/feedscale"
 )
 
-// TestScaleFeedOfProcesses has hollow balancers follow real relays, of which one is killed and one falls silent.
-func TestScaleFeedOfProcesses(t *testing.T) {
+// Simulated balancers receive every change from relay processes of which one is killed and one suspended.
+func TestScaleFeedWithProcesses(t *testing.T) {
 	options := feedscale.Options{Subscribers: 24, Relays: 4, Regions: 4, PurgesPerSecond: 20, SettingsPerSecond: 5,
 		SettingBytes: feedscale.DefaultSettingBytes, Duration: 4 * time.Second, Seed: 1, KillRelays: 1, FreezeRelays: 1,
 		Program: os.Args[0], Environment: []string{"LARCHTHREAD_SERVE=1"}, Directory: t.TempDir()}
@@ -27,17 +27,18 @@
 	if result.Failed() {
 		t.Error("changes were lost, or did not arrive")
 	}
-	if alive := options.Relays - options.KillRelays + 1; len(result.Processes) != alive || len(result.Faults) != 2 {
-		t.Errorf("%d processes were measured, want %d; faults: %+v", len(result.Processes), alive, result.Faults)
+	if wantProcesses := options.Relays - options.KillRelays + 1; len(result.Processes) != wantProcesses || len(result.Faults) != 2 {
+		t.Errorf("%d processes measured, want %d; faults: %+v", len(result.Processes), wantProcesses, result.Faults)
 	}
 	for _, kind := range []feedscale.Kind{feedscale.Settings, feedscale.Purges} {
-		if of := result.Kinds[kind]; of.Published == 0 || of.Failed > 0 || of.Everywhere.Count+of.Partial != of.Published {
-			t.Errorf("%v: %+v", kind, of)
+		if stats := result.Kinds[kind]; stats.Published == 0 || stats.Failed > 0 ||
+			stats.Everywhere.Count+stats.Partial != stats.Published {
+			t.Errorf("%v: %+v", kind, stats)
 		}
 	}
 }
 
-// TestScaleFeedCommand has the command print what came of a small fleet, and write the report.
+// The command prints the result for a small fleet and writes the report.
 func TestScaleFeedCommand(t *testing.T) {
 	report := filepath.Join(t.TempDir(), "report.html")
 	var output, progress bytes.Buffer
@@ -50,7 +51,7 @@
 	}
 	for _, part := range []string{"6 subscribers, 2 relays", "none lost, none twice, none out of order", "report: "} {
 		if !strings.Contains(output.String(), part) {
-			t.Errorf("no %q in:\n%s", part, &output)
+			t.Errorf("output lacks %q:\n%s", part, &output)
 		}
 	}
 	if !strings.Contains(progress.String(), "all fresh") {
@@ -61,13 +62,13 @@
 	}
 }
 
-// TestScaleFeedRefusesOptions has options that make no sense end the command with its usual code.
+// Invalid options end the command with exitFailure and a message.
 func TestScaleFeedRefusesOptions(t *testing.T) {
 	var progress bytes.Buffer
 	root := newRootCommand()
 	root.SetErr(&progress)
 	root.SetArgs([]string{"scale", "feed", "--balancers", "0"})
 	if err := root.Execute(); err != exitError(exitFailure) || !strings.Contains(progress.String(), "at least one subscriber") {
-		t.Errorf("%v, said %q", err, &progress)
+		t.Errorf("error %v, output %q", err, &progress)
 	}
 }
--- a/cmd/larchthread/scale_test.go
+++ b/cmd/larchthread/scale_test.go
@@ -9,7 +9,7 @@
 	"larchthread/internal/scale"
 )
 
-// TestScaleList has the command print its figures as JSON.
+// The command prints its results as JSON.
 func TestScaleList(t *testing.T) {
 	var out bytes.Buffer
 	c := newRootCommand()
@@ -27,15 +27,15 @@
 	}
 }
 
-// TestScaleConnections has a real balancer before a few hosts: one resting connection to each, or some more, and all answers
-// of 385 KB served.
+// A balancer process in front of a few hosts keeps at least one idle connection to each, and serves answers of 385 KB.
 func TestScaleConnections(t *testing.T) {
 	const hosts = 4
-	result, err := scale.MeasureConnections(scale.ConnectionsConfig{Hosts: hosts, Program: os.Args[0], Env: []string{"LARCHTHREAD_SERVE=1"}})
+	result, err := scale.MeasureConnections(scale.ConnectionsConfig{
+		Hosts: hosts, Program: os.Args[0], Env: []string{"LARCHTHREAD_SERVE=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Resting < hosts || result.LargeAnswers == 0 {
-		t.Errorf("%d resting connections to %d hosts, %d large answers", result.Resting, hosts, result.LargeAnswers)
+		t.Errorf("%d idle connections to %d hosts, %d large answers", result.Resting, hosts, result.LargeAnswers)
 	}
 }
--- a/cmd/larchthread/speed_test.go
+++ b/cmd/larchthread/speed_test.go
@@ -26,25 +26,27 @@
 )
 
 const (
-	speedHosts = 10
-	speedKeys  = 10000
-	speedFor   = time.Second // of one run: some thousand ops at the least
+	speedHosts   = 10
+	speedKeys    = 10000
+	speedRunTime = time.Second // of one run, long enough for thousands of ops
 )
 
-const speedLimits = `{"cores":1,"memory_mb":512,"sockets":8192}` // 400 clients at rest between two ops are no surplus
+// speedLimits leaves enough sockets that no idle connection of the 400 clients is closed as surplus.
+const speedLimits = `{"cores":1,"memory_mb":512,"sockets":8192}`
 
-// quick adds a cache host that answers each command with one byte after a while, and notes nothing.
-func (f *fleet) quick(name string, delay time.Duration) {
+// addFastHost adds a cache host that answers each command with a value of one byte after a delay, and records nothing.
+func (f *fleet) addFastHost(name string, delay time.Duration) {
 	l := standin.Anywhere()
 	f.Members = append(f.Members, standin.ListEntry(name, l.Addr().String(), "box", "in_service"))
-	f.Serve(l, func(c net.Conn) { quickly(c, delay) })
+	f.Serve(l, func(c net.Conn) { serveFastHost(c, delay) })
 }
 
-// apart adds such hosts in a process of their own, which no pause of the clients' holds up.
-func (f *fleet) apart(n int, delay time.Duration) (end func()) {
+// startFastHosts adds n fast cache hosts in a separate process, so that pauses of the clients' process do not delay them. The
+// returned function kills that process.
+func (f *fleet) startFastHosts(n int, delay time.Duration) (stop func()) {
 	p := exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), fmt.Sprintf("LARCHTHREAD_HOSTS=%d,%v", n, delay))
-	if delay > 0 { // a thread that sleeps keeps its place among those that may run
+	if delay > 0 { // a thread in a blocking sleep still counts against GOMAXPROCS
 		p.Env = append(p.Env, "GOMAXPROCS=400")
 	}
 	out, err := p.StdoutPipe()
@@ -60,24 +62,26 @@
 	}
 }
 
-// serveHosts is that process: it prints the hosts' addresses.
-func serveHosts(told string) {
-	n, text, _ := strings.Cut(told, ",")
-	many, err := strconv.Atoi(n)
-	delay, bad := time.ParseDuration(text)
-	if err := errors.Join(err, bad); err != nil {
+// serveHosts runs fast hosts in a separate process and prints their addresses, one a line. The spec is COUNT,DELAY. It never
+// returns, and panics if the spec is invalid.
+func serveHosts(spec string) {
+	n, text, _ := strings.Cut(spec, ",")
+	count, err := strconv.Atoi(n)
+	delay, delayErr := time.ParseDuration(text)
+	if err := errors.Join(err, delayErr); err != nil {
 		panic(err)
 	}
 	f := &fleet{}
-	for range many {
+	for range count {
 		l := standin.Anywhere()
-		f.Serve(l, func(c net.Conn) { quickly(c, delay) })
+		f.Serve(l, func(c net.Conn) { serveFastHost(c, delay) })
 		fmt.Println(l.Addr())
 	}
 	select {}
 }
 
-func quickly(c net.Conn, delay time.Duration) {
+// serveFastHost answers the commands of a connection with values of one byte, each after a delay.
+func serveFastHost(c net.Conn, delay time.Duration) {
 	var answer []byte
 	for r := bufio.NewReader(c); ; {
 		line, err := r.ReadSlice('\n')
@@ -86,7 +90,7 @@
 		}
 		_, id, _ := bytes.Cut(line, []byte(" O"))
 		id, _, _ = bytes.Cut(id, []byte(" "))
-		if delay > 0 { // the runtime's own timers round up to a millisecond where all is idle
+		if delay > 0 { // an idle runtime rounds its timers up to a millisecond
 			wait := unix.NsecToTimespec(delay.Nanoseconds())
 			unix.Nanosleep(&wait, nil)
 		}
@@ -97,11 +101,11 @@
 	}
 }
 
-// runBareRelay is what a balancer's sockets cost at the least: one thread, one epoll, and for each client one
-// connection to a host, to which bytes are passed on unread.
+// runBareRelay relays bytes between clients and hosts without parsing them, with one thread, one epoll instance, and one host
+// connection for each client. It is the baseline for the cost of a balancer's socket operations. It returns only on an error.
 func runBareRelay(listen string, hosts []string) error {
 	runtime.GOMAXPROCS(1)
-	address := func(s string) *unix.SockaddrInet4 {
+	socketAddress := func(s string) *unix.SockaddrInet4 {
 		a, err := net.ResolveTCPAddr("tcp4", s)
 		if err != nil {
 			panic(err)
@@ -112,20 +116,20 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(unix.Bind(listener, address(listen)), unix.Listen(listener, 1024)); err != nil {
+	if err := errors.Join(unix.Bind(listener, socketAddress(listen)), unix.Listen(listener, 1024)); err != nil {
 		return err
 	}
 	poll, err := unix.EpollCreate1(0)
 	if err != nil {
 		return err
 	}
-	watch := func(fd int) {
+	register := func(fd int) {
 		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		unix.EpollCtl(poll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(fd)})
 	}
-	watch(listener)
-	other := map[int]int{}
-	events, bytes := make([]unix.EpollEvent, 512), make([]byte, 64<<10)
+	register(listener)
+	peers := map[int]int{}
+	events, buffer := make([]unix.EpollEvent, 512), make([]byte, 64<<10)
 	for {
 		n, err := unix.EpollWait(poll, events, -1)
 		if err != nil && err != unix.EINTR {
@@ -142,26 +146,27 @@
 				if err != nil {
 					return err
 				}
-				if err := unix.Connect(h, address(hosts[len(other)/2%len(hosts)])); err != nil {
+				if err := unix.Connect(h, socketAddress(hosts[len(peers)/2%len(hosts)])); err != nil {
 					return err
 				}
-				other[c], other[h] = h, c
-				watch(c)
-				watch(h)
+				peers[c], peers[h] = h, c
+				register(c)
+				register(h)
 				continue
 			}
-			if n, err := unix.Read(from, bytes); n > 0 && err == nil {
-				unix.Write(other[from], bytes[:n])
+			if n, err := unix.Read(from, buffer); n > 0 && err == nil {
+				unix.Write(peers[from], buffer[:n])
 			} else if err != unix.EAGAIN {
 				unix.Close(from)
-				unix.Shutdown(other[from], unix.SHUT_RDWR)
-				delete(other, from)
+				unix.Shutdown(peers[from], unix.SHUT_RDWR)
+				delete(peers, from)
 			}
 		}
 	}
 }
 
-// startProfiling lets the program write what it has allocated as it ends, and its profiles where a path for them is given.
+// startProfiling starts a CPU profile if LARCHTHREAD_PROFILE gives a path. The returned function prints the number of allocations
+// to standard error and, if there is a path, completes PATH.cpu and writes the allocation profile to PATH.allocs.
 func startProfiling() (done func()) {
 	path := os.Getenv("LARCHTHREAD_PROFILE")
 	if path != "" {
@@ -186,44 +191,45 @@
 	}
 }
 
-// speed is what clients saw of a run.
-type speed struct {
-	served, late, nacked, failed int
+// loadResult counts the outcomes of the ops that clients sent in one run.
+type loadResult struct {
+	served, late, nacked, failed int             // late ops are also served
 	latencies                    []time.Duration // of ops served
-	took                         time.Duration
-	cpu                          time.Duration // of the process between
+	elapsed                      time.Duration
+	cpu                          time.Duration // CPU time of the measured process
 }
 
-func (s *speed) add(o *speed) {
+// add adds another result's counts and latencies.
+func (s *loadResult) add(o *loadResult) {
 	s.served, s.late, s.nacked, s.failed = s.served+o.served, s.late+o.late, s.nacked+o.nacked, s.failed+o.failed
 	s.latencies = append(s.latencies, o.latencies...)
 }
 
-// quantile is the latency over which a part of the ops served were, in µs.
-func (s *speed) quantile(part float64) float64 {
+// quantile returns the latency in µs that the given fraction of served ops did not exceed, or 0 if no op was served.
+func (s *loadResult) quantile(fraction float64) float64 {
 	if len(s.latencies) == 0 {
 		return 0
 	}
 	slices.Sort(s.latencies)
-	return float64(s.latencies[min(int(part*float64(len(s.latencies))), len(s.latencies)-1)].Nanoseconds()) / 1000
+	return float64(s.latencies[min(int(fraction*float64(len(s.latencies))), len(s.latencies)-1)].Nanoseconds()) / 1000
 }
 
-// report gives the figures of one run; added is what the hosts take.
-func (s *speed) report(b *testing.B, hosts time.Duration) {
+// report reports the metrics of one run. Latencies exclude hostDelay, the time that hosts take for an answer.
+func (s *loadResult) report(b *testing.B, hostDelay time.Duration) {
 	ops := float64(max(s.served+s.nacked+s.failed, 1))
-	own := float64(hosts.Nanoseconds()) / 1000
-	b.ReportMetric(0, "ns/op") // says nothing where many ops are under way
-	b.ReportMetric(float64(s.served-s.late)/s.took.Seconds(), "served/s")
+	hostMicros := float64(hostDelay.Nanoseconds()) / 1000
+	b.ReportMetric(0, "ns/op") // meaningless for concurrent ops
+	b.ReportMetric(float64(s.served-s.late)/s.elapsed.Seconds(), "served/s")
 	b.ReportMetric(float64(s.nacked)/ops, "nacks/op")
 	b.ReportMetric(float64(s.failed)/ops, "failed/op")
-	b.ReportMetric(s.quantile(0.5)-own, "p50-µs")
-	b.ReportMetric(s.quantile(0.99)-own, "p99-µs")
-	b.ReportMetric(s.quantile(0.999)-own, "p99.9-µs")
+	b.ReportMetric(s.quantile(0.5)-hostMicros, "p50-µs")
+	b.ReportMetric(s.quantile(0.99)-hostMicros, "p99-µs")
+	b.ReportMetric(s.quantile(0.999)-hostMicros, "p99.9-µs")
 	b.ReportMetric(float64(s.cpu.Microseconds())/float64(max(s.served, 1)), "cpu-µs/served")
 }
 
-// cpuOf is the time that a process has had of its cores.
-func cpuOf(pid int) time.Duration {
+// cpuTime returns the user and system CPU time that a process has used.
+func cpuTime(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	words := strings.Fields(rest)
@@ -232,38 +238,38 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// closed has so many clients send one op after another for a while.
-func closed(address string, clients int, ttl time.Duration, span time.Duration) *speed {
+// runClosedLoop runs clients that each wait for an answer before they send the next op.
+func runClosedLoop(address string, clients int, ttl time.Duration, duration time.Duration) *loadResult {
 	began := time.Now()
-	all := together(clients, func(i int) *speed { return one(address, i, ttl, began.Add(span)) })
-	all.took = time.Since(began)
-	return all
+	total := runClients(clients, func(i int) *loadResult { return runClosedLoopClient(address, i, ttl, began.Add(duration)) })
+	total.elapsed = time.Since(began)
+	return total
 }
 
-// together adds up what so many clients see.
-func together(clients int, each func(i int) *speed) *speed {
-	var all speed
+// runClients runs clients concurrently and returns the sum of their results.
+func runClients(clients int, run func(i int) *loadResult) *loadResult {
+	var total loadResult
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s := each(i)
+			s := run(i)
 			mu.Lock()
 			defer mu.Unlock()
-			all.add(s)
+			total.add(s)
 		}()
 	}
 	wg.Wait()
-	return &all
+	return &total
 }
 
-// one is a client in a closed loop. It heeds no word on when to come back: that is the harder case.
-func one(address string, name int, ttl time.Duration, until time.Time) *speed {
-	s := &speed{}
+// runClosedLoopClient runs one client of a closed loop. It ignores the retry delay of nacks, which loads the balancer more.
+func runClosedLoopClient(address string, client int, ttl time.Duration, until time.Time) *loadResult {
+	s := &loadResult{}
 	var out []byte
-	rng := rand.New(rand.NewPCG(uint64(name), 1))
+	rng := rand.New(rand.NewPCG(uint64(client), 1))
 	for n := 0; time.Now().Before(until); {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -271,9 +277,9 @@
 			return s
 		}
 		for r := bufio.NewReader(c); err == nil && time.Now().Before(until); n++ {
-			out = get(out[:0], name, n, rng.IntN(speedKeys), ttl)
+			out = appendRead(out[:0], client, n, rng.IntN(speedKeys), ttl)
 			began := time.Now()
-			if _, err = c.Write(out); err == nil && !s.take(r, began) {
+			if _, err = c.Write(out); err == nil && !s.readAnswer(r, began) {
 				break
 			}
 		}
@@ -282,12 +288,14 @@
 	return s
 }
 
-func get(out []byte, client, n, key int, ttl time.Duration) []byte {
+// appendRead appends a read command to out. The client and n make its id unique.
+func appendRead(out []byte, client, n, key int, ttl time.Duration) []byte {
 	return fmt.Appendf(out, "mg k%d v O%d-%d Pc=read,d=%d\r\n", key, client, n, ttl.Milliseconds())
 }
 
-// take reads one answer.
-func (s *speed) take(r *bufio.Reader, began time.Time) (more bool) {
+// readAnswer reads one answer and counts it. A value that arrives more than 200 ms after began counts as late. It returns false
+// once the connection has failed.
+func (s *loadResult) readAnswer(r *bufio.Reader, began time.Time) (more bool) {
 	line, err := r.ReadSlice('\n')
 	switch {
 	case err != nil:
@@ -299,8 +307,8 @@
 			return false
 		}
 		s.served++
-		took := time.Since(began)
-		if s.latencies = append(s.latencies, took); took > 200*time.Millisecond {
+		latency := time.Since(began)
+		if s.latencies = append(s.latencies, latency); latency > 200*time.Millisecond {
 			s.late++
 		}
 	case bytes.HasPrefix(line, []byte("SERVER_ERROR busy")):
@@ -311,16 +319,19 @@
 	return true
 }
 
-// streams has clients send at a rate whatever comes back, each on one connection, for a while.
-func streams(address string, clients int, rate float64, ttl, span time.Duration) *speed {
-	all := together(clients, func(i int) *speed { return stream(address, i, rate/float64(clients), ttl, span) })
-	all.took = span
-	return all
+// runOpenLoop runs clients that send at a total rate, in ops per second, without waiting for answers. Each uses one connection.
+func runOpenLoop(address string, clients int, rate float64, ttl, duration time.Duration) *loadResult {
+	total := runClients(clients, func(i int) *loadResult {
+		return runOpenLoopClient(address, i, rate/float64(clients), ttl, duration)
+	})
+	total.elapsed = duration
+	return total
 }
 
-// stream is a client that sends at a rate. Its ops count from when they were due, also where they could not be written.
-func stream(address string, name int, rate float64, ttl, span time.Duration) *speed {
-	s := &speed{}
+// runOpenLoopClient runs one client of an open loop. Latencies count from the time at which an op was due, even if it was written
+// later.
+func runOpenLoopClient(address string, client int, rate float64, ttl, duration time.Duration) *loadResult {
+	s := &loadResult{}
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		s.failed++
@@ -328,40 +339,40 @@
 	}
 	defer c.Close()
 	began := time.Now().Add(time.Duration(rand.Float64() / rate * 1e9))
-	due := func(n int) time.Time { return began.Add(time.Duration(float64(n) / rate * 1e9)) }
-	most := int(span.Seconds() * rate)
+	dueTime := func(n int) time.Time { return began.Add(time.Duration(float64(n) / rate * 1e9)) }
+	total := int(duration.Seconds() * rate)
 	go func() {
 		var out []byte
-		rng := rand.New(rand.NewPCG(uint64(name), 2))
-		for n := 0; n < most; {
+		rng := rand.New(rand.NewPCG(uint64(client), 2))
+		for n := 0; n < total; {
 			out = out[:0]
-			for ; n < most && !due(n).After(time.Now()); n++ {
-				out = get(out, name, n, rng.IntN(speedKeys), ttl)
+			for ; n < total && !dueTime(n).After(time.Now()); n++ {
+				out = appendRead(out, client, n, rng.IntN(speedKeys), ttl)
 			}
 			if _, err := c.Write(out); err != nil {
 				return
 			}
-			time.Sleep(time.Until(due(n)))
+			time.Sleep(time.Until(dueTime(n)))
 		}
 	}()
-	c.SetReadDeadline(began.Add(span + 2*time.Second))
-	for r, n := bufio.NewReader(c), 0; n < most && s.take(r, due(n)); n++ {
+	c.SetReadDeadline(began.Add(duration + 2*time.Second))
+	for r, n := bufio.NewReader(c), 0; n < total && s.readAnswer(r, dueTime(n)); n++ {
 	}
 	return s
 }
 
-// end stops what start began in good order, and tells how many allocations the program made.
-func (f *fleet) end() int {
+// terminate stops the program with SIGTERM and the fleet with it, and returns the number of allocations that the program made.
+func (f *fleet) terminate() int {
 	f.process.Process.Signal(syscall.SIGTERM)
 	f.process.Wait()
 	f.stop()
 	_, n, _ := strings.Cut(f.log.String(), "allocations=")
-	all, _ := strconv.Atoi(strings.TrimSpace(n))
-	return all
+	allocations, _ := strconv.Atoi(strings.TrimSpace(n))
+	return allocations
 }
 
-// relay runs a bare relay to the same hosts, and gives its address and process.
-func (f *fleet) relay() (string, *exec.Cmd) {
+// startBareRelay starts a bare relay to the fleet's hosts, and returns its address and process.
+func (f *fleet) startBareRelay() (string, *exec.Cmd) {
 	listen := freeAddress()
 	var hosts []string
 	for _, m := range f.Members {
@@ -379,76 +390,82 @@
 	return listen, p
 }
 
-// BenchmarkSpeed has clients in closed loops ask fast hosts through the balancer, and through a bare relay in the same run.
+// BenchmarkSpeed compares reads in closed loops through the balancer with reads through a bare relay.
 func BenchmarkSpeed(b *testing.B) {
 	for _, delay := range []time.Duration{0, 200 * time.Microsecond, time.Millisecond} {
-		b.Run(fmt.Sprint("host=", delay), func(b *testing.B) { speedAt(b, delay) })
+		b.Run(fmt.Sprint("host=", delay), func(b *testing.B) { benchmarkHostDelay(b, delay) })
 	}
 }
 
-func speedAt(b *testing.B, delay time.Duration) {
+// benchmarkHostDelay runs the benchmark with hosts that take delay for each answer.
+func benchmarkHostDelay(b *testing.B, delay time.Duration) {
 	f := &fleet{limits: speedLimits}
-	defer f.apart(speedHosts, delay)()
+	defer f.startFastHosts(speedHosts, delay)()
 	f.start()
-	bare, p := f.relay()
+	relayAddress, relay := f.startBareRelay()
 	defer func() {
-		p.Process.Kill()
-		p.Wait()
-		fmt.Printf("allocations an op, start and end of the program included: %.1f\n", float64(f.end())/float64(f.servedOps))
+		relay.Process.Kill()
+		relay.Wait()
+		fmt.Printf("allocations per op, including start and stop of the program: %.1f\n", float64(f.terminate())/float64(f.servedOps))
 	}()
 	for _, clients := range []int{1, 8, 32, 100, 400} {
 		b.Run(fmt.Sprintf("clients=%d/relay", clients), func(b *testing.B) {
-			measure(b, p.Process.Pid, delay, func() *speed { return closed(bare, clients, time.Second, speedFor) })
+			measure(b, relay.Process.Pid, delay, func() *loadResult {
+				return runClosedLoop(relayAddress, clients, time.Second, speedRunTime)
+			})
 		})
 		for _, ttl := range []time.Duration{600 * time.Millisecond, 4 * time.Second} {
 			b.Run(fmt.Sprintf("clients=%d/ttl=%v", clients, ttl), func(b *testing.B) {
-				s := measure(b, f.process.Process.Pid, delay, func() *speed { return closed(f.listenAddress, clients, ttl, speedFor) })
+				s := measure(b, f.process.Process.Pid, delay, func() *loadResult {
+					return runClosedLoop(f.listenAddress, clients, ttl, speedRunTime)
+				})
 				f.servedOps += s.served
 			})
 		}
 	}
 }
 
-// BenchmarkOverload sends what a core serves, and more, whatever comes back.
+// BenchmarkOverload sends multiples of the rate that one core can serve, without waiting for answers.
 func BenchmarkOverload(b *testing.B) {
 	f := &fleet{limits: speedLimits}
-	defer f.apart(speedHosts, 0)()
+	defer f.startFastHosts(speedHosts, 0)()
 	f.start()
-	defer f.end()
-	top := func() float64 { // what it serves to clients that wait for their answers
+	defer f.terminate()
+	measureTop := func() float64 { // ops per second served to closed loops
 		best := 0.0
 		for _, clients := range []int{32, 100} {
-			s := closed(f.listenAddress, clients, 600*time.Millisecond, speedFor)
-			best = max(best, float64(s.served)/s.took.Seconds())
+			s := runClosedLoop(f.listenAddress, clients, 600*time.Millisecond, speedRunTime)
+			best = max(best, float64(s.served)/s.elapsed.Seconds())
 		}
 		return best
 	}
 	for _, times := range []float64{0.5, 1, 1.5, 2, 4} {
 		b.Run(fmt.Sprintf("times=%v", times), func(b *testing.B) {
-			before := top()
-			s := measure(b, f.process.Process.Pid, 0, func() *speed {
-				return streams(f.listenAddress, 100, times*before, 600*time.Millisecond, 3*speedFor)
+			before := measureTop()
+			s := measure(b, f.process.Process.Pid, 0, func() *loadResult {
+				return runOpenLoop(f.listenAddress, 100, times*before, 600*time.Millisecond, 3*speedRunTime)
 			})
-			mean := (before + top()) / 2 // the machine's own speed changes
-			b.ReportMetric(float64(s.served-s.late)/s.took.Seconds()/mean, "of-top")
+			mean := (before + measureTop()) / 2 // the machine's speed varies during the run
+			b.ReportMetric(float64(s.served-s.late)/s.elapsed.Seconds()/mean, "of-top")
 		})
 	}
 }
 
-func measure(b *testing.B, pid int, hosts time.Duration, run func() *speed) *speed {
-	before := cpuOf(pid)
+// measure runs a load, and reports its result with the CPU time that the process used meanwhile.
+func measure(b *testing.B, pid int, hostDelay time.Duration, run func() *loadResult) *loadResult {
+	before := cpuTime(pid)
 	s := run()
-	s.cpu = cpuOf(pid) - before
-	s.report(b, hosts)
+	s.cpu = cpuTime(pid) - before
+	s.report(b, hostDelay)
 	return s
 }
 
-// Far more commands than one core serves come at once on many connections. Each gets one answer, in its place: its value, or
-// word to come back.
-func Example_tooMany() {
+// When far more commands than one core can serve arrive at once on many connections, each gets one answer, in order: its value
+// or a nack.
+func Example_moreCommandsThanCapacity() {
 	f := &fleet{}
 	for _, name := range []string{"x", "x2"} {
-		f.quick(name, 0)
+		f.addFastHost(name, 0)
 	}
 	f.start()
 	defer f.stop()
@@ -467,7 +484,7 @@
 			go func() {
 				var all []byte
 				for n := range each {
-					all = get(all, i, n, n, 600*time.Millisecond)
+					all = appendRead(all, i, n, n, 600*time.Millisecond)
 				}
 				c.Write(all)
 			}()
@@ -486,7 +503,8 @@
 		}()
 	}
 	wg.Wait()
-	fmt.Println("all answered:", served.Load()+nacked.Load() == clients*each, "some served:", served.Load() > 0, "wrong:", wrong.Load())
+	fmt.Println("all answered:", served.Load()+nacked.Load() == clients*each, "some served:", served.Load() > 0,
+		"wrong:", wrong.Load())
 	// Output:
 	// all answered: true some served: true wrong: 0
 }
--- a/cmd/larchthread/spoilt_on_test.go
+++ b/cmd/larchthread/spoilt_on_test.go
@@ -2,4 +2,5 @@
 
 package main
 
+// builtWithFaults tells whether the tests are built with the tag faults.
 const builtWithFaults = true
--- a/cmd/larchthread/spoilt_test.go
+++ b/cmd/larchthread/spoilt_test.go
@@ -8,9 +8,9 @@
 	"larchthread/internal/trial"
 )
 
-// In a build with the tag the trial spoils files and clocks of a running process; one that starts meanwhile starts with its
-// clock off.
-func TestSpoilt(t *testing.T) {
+// A build with the tag faults lets a trial inject disk and clock faults into running processes. A process that starts during a
+// clock fault starts with its clock off.
+func TestSpoiltFilesAndClocks(t *testing.T) {
 	p, err := trial.Read([]byte(`
 name: files and clocks
 load: {for: 2.5s, rate: 100}
--- a/cmd/larchthread/trial_test.go
+++ b/cmd/larchthread/trial_test.go
@@ -17,7 +17,8 @@
 	"larchthread/internal/trial"
 )
 
-// runPlan plays a plan on processes of this binary.
+// runPlan runs a plan on processes of this binary. The test fails with the result's table if a rule is broken or the trial itself
+// has trouble.
 func runPlan(t *testing.T, p trial.Plan) *trial.Result {
 	t.Helper()
 	cluster := &trial.Cluster{Program: os.Args[0], Args: []string{"serve"}, Env: []string{"LARCHTHREAD_SERVE=1"}}
@@ -33,13 +34,13 @@
 	return r
 }
 
-// A fixed dozen of plans, three balancers each: all rules are kept. Two are played at a time.
-func TestDozen(t *testing.T) {
+// Trials of twelve fixed plans with three balancers each break no rule and serve enough ops in time. Two run at a time.
+func TestTrialPlans(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it takes half a minute")
+		t.Skip("takes half a minute")
 	}
-	two := make(chan bool, 2)
-	var all sync.WaitGroup
+	slots := make(chan bool, 2)
+	var subtests sync.WaitGroup
 	for name, faults := range map[string]string{
 		"nothing": "",
 		"killed while a host hangs": `
@@ -54,7 +55,7 @@
 		"a partition by zones": `
 - {at: 0.6s, for: 1s, what: cut, from: [z1], to: [z2]}
 - {at: 0.6s, for: 1s, what: hole, from: [z2], to: [z1], way: back}`,
-		"the origin is slow and copies go void": `
+		"the origin is slow and hosts lose their copies": `
 - {at: 0.5s, for: 1.2s, what: slow, of: [origin], by: 10}
 - {at: 0.7s, what: void, of: [all]}`,
 		"discovery is silent while a host is replaced": `
@@ -63,16 +64,16 @@
 		"answers are lost on many links": `
 - {at: 0.5s, for: 1.2s, what: sever, from: [all], to: [h1, h2, h3], by: 3000}
 - {at: 0.5s, for: 1.2s, what: resets, of: [h4], by: 0.5}`,
-		"far away, with few connections": `
+		"high latency and few connections": `
 - {at: 0.4s, for: 1.3s, what: delay, from: [b1, b2], to: [all], by: 20ms}
 - {at: 0.5s, for: 1.2s, what: table, of: [h1, h2], by: 2}`,
-		"banned by hand, and a disk lost": `
+		"a host is banned while a disk is wiped": `
 - {at: 0.4s, for: 1.4s, what: ban, of: [h5]}
 - {at: 0.6s, for: 0.8s, what: wipe, of: [b3]}`,
-		"errors beside late lists": `
+		"errors and late host lists": `
 - {at: 0.4s, for: 1.2s, what: errors, of: [h1, h2, origin], by: 0.4}
 - {at: 0.5s, for: 1.2s, what: late, by: 400ms}`,
-		"ended and started again, one after another": `
+		"restarted one after another": `
 - {at: 0.3s, for: 0.6s, what: term, of: [b1]}
 - {at: 1s, for: 0.7s, what: term, of: [b2]}`,
 	} {
@@ -84,46 +85,46 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.Add(1)
+		subtests.Add(1)
 		go func() {
-			defer all.Done() // also where the subtest is not asked for
+			defer subtests.Done() // also if -run does not select the subtest
 			t.Run(name, func(t *testing.T) {
-				two <- true
-				defer func() { <-two }()
+				slots <- true
+				defer func() { <-slots }()
 				r := runPlan(t, p)
-				if least := 0.3; r.Service() < least {
-					t.Errorf("%.2f of the ops in time, want %v", r.Service(), least)
+				if minService := 0.3; r.Service() < minService {
+					t.Errorf("share of ops served in time: %.2f, want at least %v", r.Service(), minService)
 				}
 			})
 		}()
 	}
-	all.Wait()
+	subtests.Wait()
 }
 
-// The trial itself is killed: nothing that it started lives on.
+// Processes that a trial has started end when the trial is killed.
 func TestTrialKilled(t *testing.T) {
 	plan := filepath.Join(t.TempDir(), "plan.yaml")
 	if err := os.WriteFile(plan, []byte("load: {for: 30s, rate: 20}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g := exec.Command(os.Args[0], "trial", plan, "--quiet")
-	g.Env = append(os.Environ(), "LARCHTHREAD_SERVE=1", "TMPDIR="+t.TempDir()) // it leaves its directory
-	if err := g.Start(); err != nil {
+	process := exec.Command(os.Args[0], "trial", plan, "--quiet")
+	process.Env = append(os.Environ(), "LARCHTHREAD_SERVE=1", "TMPDIR="+t.TempDir()) // a killed trial leaves its directory behind
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	var started []int
-	for end := time.Now().Add(20 * time.Second); len(started) < 3 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		started = children(g.Process.Pid)
+	var pids []int
+	for end := time.Now().Add(20 * time.Second); len(pids) < 3 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		pids = childProcesses(process.Process.Pid)
 	}
-	g.Process.Kill()
-	g.Wait()
-	if len(started) != 3 {
-		t.Fatalf("started: %v", started)
+	process.Process.Kill()
+	process.Wait()
+	if len(pids) != 3 {
+		t.Fatalf("processes started: %v, want 3", pids)
 	}
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		alive := 0
-		for _, pid := range started {
-			if syscall.Kill(pid, 0) == nil && !zombie(pid) {
+		for _, pid := range pids {
+			if syscall.Kill(pid, 0) == nil && !isZombie(pid) {
 				alive++
 			}
 		}
@@ -131,27 +132,27 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d of %v live on", alive, started)
+			t.Fatalf("%d of the processes %v are still running", alive, pids)
 		}
 	}
 }
 
-// children are the processes that a process's threads have started.
-func children(pid int) (all []int) {
+// childProcesses returns the process ids of the children of all threads of a process.
+func childProcesses(pid int) (pids []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	for _, path := range tasks {
 		text, _ := os.ReadFile(path)
 		for _, word := range strings.Fields(string(text)) {
 			if n, err := strconv.Atoi(word); err == nil {
-				all = append(all, n)
+				pids = append(pids, n)
 			}
 		}
 	}
-	return all
+	return pids
 }
 
-// zombie tells whether a process has ended and only its parent has not looked.
-func zombie(pid int) bool {
+// isZombie reports whether a process has ended. It may be gone, or its parent has not waited for it yet.
+func isZombie(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return true
@@ -160,8 +161,8 @@
 	return strings.HasPrefix(rest, "Z")
 }
 
-// What trial says and returns where a plan can't be played.
-func Example_trialBadly() {
+// The command trial explains missing, invalid and unreadable plans, and exits with code 2.
+func Example_trialUsageErrors() {
 	dir, _ := os.MkdirTemp("", "larchthread-test-")
 	defer os.RemoveAll(dir)
 	bad, empty := filepath.Join(dir, "bad.yaml"), filepath.Join(dir, "empty.yaml")
@@ -169,12 +170,12 @@
 	os.WriteFile(empty, nil, 0o600)
 	for _, args := range [][]string{{}, {bad}, {empty}, {"--draw", "2", bad}, {bad + "x"}} {
 		c := newRootCommand()
-		var said bytes.Buffer
-		c.SetOut(&said)
-		c.SetErr(&said)
+		var output bytes.Buffer
+		c.SetOut(&output)
+		c.SetErr(&output)
 		c.SetArgs(append([]string{"trial"}, args...))
 		code := execute(c)
-		fmt.Println(code, strings.TrimSpace(strings.ReplaceAll(said.String(), dir, "DIR")))
+		fmt.Println(code, strings.TrimSpace(strings.ReplaceAll(output.String(), dir, "DIR")))
 	}
 	// Output:
 	// 2 no plan: name a file, or draw some with --draw
@@ -184,9 +185,10 @@
 	// 2 open DIR/bad.yamlx: no such file or directory
 }
 
-// A report is one file with everything in it.
+// An HTML report holds the rules, load, faults and plots of a trial, and refers to no other file.
 func TestTrialReport(t *testing.T) {
-	p, err := trial.Read([]byte("fleet: {balancers: 1, hosts: 2}\nload: {for: 1s, rate: 50}\nfaults: [{at: 0.2s, for: 0.3s, what: slow, of: [h1], by: 5}]"))
+	p, err := trial.Read([]byte(
+		"fleet: {balancers: 1, hosts: 2}\nload: {for: 1s, rate: 50}\nfaults: [{at: 0.2s, for: 0.3s, what: slow, of: [h1], by: 5}]"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,26 +199,26 @@
 	}
 	for _, want := range []string{"all rules kept", "pushes by host: h1 ", "0.20s slow 5 h1 for 300ms", "what: slow"} {
 		if !strings.Contains(html.String(), want) {
-			t.Errorf("no %q in the report", want)
+			t.Errorf("the report lacks %q", want)
 		}
 	}
 	if n := strings.Count(html.String(), "<svg"); n != 3 {
 		t.Errorf("%d plots, want 3", n)
 	}
 	if strings.Contains(html.String(), "src=") {
-		t.Error("the report asks for another file")
+		t.Error("the report refers to another file")
 	}
 }
 
-// Where no more sockets are to be had the trial says so.
-func TestNoRoom(t *testing.T) {
+// A trial that runs out of file descriptors returns an error that says so.
+func TestTrialOutOfSockets(t *testing.T) {
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	few := old
-	few.Cur = 40
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &few); err != nil {
+	limited := old
+	limited.Cur = 40
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limited); err != nil {
 		t.Fatal(err)
 	}
 	p := trial.Usual()
@@ -229,14 +231,14 @@
 	}
 }
 
-// The build that ships holds nothing that could spoil its files or clock.
-func TestShippedBuildSpoilsNothing(t *testing.T) {
+// A build without the tag faults contains no code that injects disk or clock faults.
+func TestShippedBuildCannotInjectFaults(t *testing.T) {
 	program, err := os.ReadFile(os.Args[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	has := func(name string) bool { return bytes.Contains(program, []byte("larchthread/internal/machine."+name)) }
-	if spoils := has("spo" + "il"); !has("Wa"+"ll") || spoils != builtWithFaults {
-		t.Errorf("it can spoil: %t, want %t", spoils, builtWithFaults)
+	hasSymbol := func(name string) bool { return bytes.Contains(program, []byte("larchthread/internal/machine."+name)) }
+	if hasFaults := hasSymbol("spo" + "il"); !hasSymbol("Wa"+"ll") || hasFaults != builtWithFaults {
+		t.Errorf("build contains fault injection: %t, want %t", hasFaults, builtWithFaults)
 	}
 }
