--- a/cmd/larchthread/time_left_connection_test.go
+++ b/cmd/larchthread/time_left_connection_test.go
@@ -11,28 +11,30 @@
 	"larchthread/internal/standin"
 )
 
-// Time that passes while a connection comes up, or while a long value is on its way to a server that reads slowly.
+// These tests check the remaining time that servers are told when a connection is established late, or when a server reads a long
+// value slowly.
 
-// stored has a host keep what is written to it.
-func stored([]string) string { return "HD O{id} creceipt\r\n" }
+// acceptWrite is the handler of a host that confirms each write.
+func acceptWrite([]string) string { return "HD O{id} creceipt\r\n" }
 
-// stallingListener is the listener of a server that leaves each connection's bytes unread for a while once it has read the first.
-// Little fits in between, so a long value's last byte is not written until the server reads on.
+// stallingListener accepts connections on which the server stops reading for a while after the first stallAfterBytes. Its receive
+// buffer is small, so the last byte of a long value is not written until the server continues to read.
 type stallingListener struct {
 	net.Listener
 	stall time.Duration
 }
 
 const (
-	stallAt      = 16 << 10  // bytes that a stalling server reads first
-	stallReceive = 128 << 10 // bytes that the kernel receives for it meanwhile, or some more
+	stallAfterBytes    = 16 << 10  // bytes that the server reads before it stalls
+	stallReceiveBuffer = 128 << 10 // requested size of the receive buffer, in bytes
 )
 
+// newStallingListener listens on a free port of the loopback address.
 func newStallingListener(t *testing.T, stall time.Duration) *stallingListener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		raw.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, stallReceive)
+			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, stallReceiveBuffer)
 		})
 		return err
 	}}
@@ -43,6 +45,7 @@
 	return &stallingListener{l, stall}
 }
 
+// Accept implements net.Listener.
 func (l *stallingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -51,26 +54,27 @@
 	return &stallingConn{TCPConn: c.(*net.TCPConn), stall: l.stall}, nil
 }
 
-// stallingConn is one of its connections.
+// stallingConn is a connection of a stallingListener.
 type stallingConn struct {
 	*net.TCPConn
-	stall time.Duration
-	got   int
+	stall    time.Duration
+	received int
 }
 
+// Read sleeps for the stall when it has received the first stallAfterBytes.
 func (c *stallingConn) Read(b []byte) (int, error) {
-	n, err := c.TCPConn.Read(b[:min(len(b), stallAt)])
-	if before := c.got; before < stallAt && before+n >= stallAt {
+	n, err := c.TCPConn.Read(b[:min(len(b), stallAfterBytes)])
+	if before := c.received; before < stallAfterBytes && before+n >= stallAfterBytes {
 		time.Sleep(c.stall)
 	}
-	c.got += n
+	c.received += n
 	return n, err
 }
 
-// longWrite is a write of a value that goes out by and by.
-var longWrite = fmt.Sprintf("ms w %d O1 Pc=put,d=2500\r\n%s\r\n", len(longValue), longValue)
+// longWriteCommand writes a value that is too long to be sent at once.
+var longWriteCommand = fmt.Sprintf("ms w %d O1 Pc=put,d=2500\r\n%s\r\n", len(longValue), longValue)
 
-// A long write whose last byte leaves late, as the origin reads slowly, tells it no more than is left then.
+// When the origin reads a long write slowly, the time that it is told does not exceed what is left when the last byte is sent.
 func TestTimeLeftOfLongWriteToOrigin(t *testing.T) {
 	f := &fleet{settings: longTTLSettings()}
 	f.Host("a", miss)
@@ -78,33 +82,33 @@
 	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	f.ServeOrigin(l, handleOrigin)
 	c := startFleet(t, f)
-	r := c.sendRequest(t, longWrite)
-	c.wantAnswer(t, "HD O1")
+	r := c.sendRequest(t, longWriteCommand)
+	c.checkAnswer(t, "HD O1")
 	f.checkServers(t, r, standin.OriginID)
 	f.checkTimeLeftLimit(t, r)
 }
 
-// The same where writes go to cache hosts.
+// The same limit holds for a long write to a cache host.
 func TestTimeLeftOfLongWriteToHost(t *testing.T) {
 	f := &fleet{settings: longTTLSettings(`"mode":"aside",`, ``)}
 	l := newStallingListener(t, 700*time.Millisecond)
 	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
-	f.ServeHost("a", l, stored)
+	f.ServeHost("a", l, acceptWrite)
 	c := startFleet(t, f)
-	r := c.sendRequest(t, longWrite)
-	c.wantAnswer(t, "HD O1")
+	r := c.sendRequest(t, longWriteCommand)
+	c.checkAnswer(t, "HD O1")
 	f.checkServers(t, r, "a")
 	f.checkTimeLeftLimit(t, r)
 }
 
-// lateTo is the settings for servers to which a connection may come up late: the kernel asks again after a second.
-func lateTo() string {
+// lateConnectSettings returns settings with a connect timeout above the kernel's SYN retransmission interval of one second.
+func lateConnectSettings() string {
 	return longTTLSettings(`"connectTimeoutUs":50000`, `"connectTimeoutUs":1900000`)
 }
 
-// A host to which a connection comes up late is told what is left by then.
+// When the connection to a host is established late, the host is told the time left at that moment.
 func TestTimeLeftOnLateConnectionToHost(t *testing.T) {
-	f, h := &fleet{settings: lateTo()}, newSlowConnectHost()
+	f, h := &fleet{settings: lateConnectSettings()}, newSlowConnectHost()
 	f.Members = append(f.Members, standin.ListEntry("a", h.Addr().String(), standin.KindHost, standin.InService))
 	c := startFleet(t, f)
 	h.fillBacklog()
@@ -112,14 +116,14 @@
 	r := c.sendRequest(t, "mg k v O1 Pc=once,d=2500\r\n")
 	time.Sleep(300 * time.Millisecond)
 	f.ServeHost("a", h, hit)
-	c.wantAnswer(t, "VA 5 O1")
+	c.checkAnswer(t, "VA 5 O1")
 	f.checkServers(t, r, "a")
 	f.checkTimeLeft(t, r)
 }
 
-// The same for the origin.
+// When the connection to the origin is established late, the origin is told the time left at that moment.
 func TestTimeLeftOnLateConnectionToOrigin(t *testing.T) {
-	f, h := &fleet{settings: lateTo()}, newSlowConnectHost()
+	f, h := &fleet{settings: lateConnectSettings()}, newSlowConnectHost()
 	f.Host("a", miss)
 	f.Members = append(f.Members, standin.ListEntry("log", h.Addr().String(), standin.KindOrigin, standin.InService))
 	c := startFleet(t, f)
@@ -128,7 +132,7 @@
 	r := c.sendRequest(t, "ms k 5 O1 Pc=put,d=2500\r\nvalue\r\n")
 	time.Sleep(300 * time.Millisecond)
 	f.ServeOrigin(h, handleOrigin)
-	c.wantAnswer(t, "HD O1")
+	c.checkAnswer(t, "HD O1")
 	f.checkServers(t, r, standin.OriginID)
 	f.checkTimeLeft(t, r)
 }
--- a/cmd/larchthread/time_left_reading_test.go
+++ b/cmd/larchthread/time_left_reading_test.go
@@ -9,9 +9,9 @@
 	"larchthread/internal/standin"
 )
 
-// Time that passes while a command is read, or waits to be.
+// These tests check the remaining time that servers are told for commands that are read slowly or wait to be read.
 
-// A client's time counts from the last byte of its command, however long the pieces before have taken.
+// A command's time counts from its last byte, however slowly the rest arrived.
 func TestTimeLeftOfCommandInPieces(t *testing.T) {
 	f := &fleet{settings: longTTLSettings()}
 	c := startWithHosts(t, f, delayed(300*time.Millisecond, miss))
@@ -23,19 +23,20 @@
 	time.Sleep(300 * time.Millisecond)
 	c.sendAndPrint(0, "\n")
 	r := request{id: "1", timeLeft: 1500 * time.Millisecond, sent: time.Now()}
-	c.wantAnswer(t, "VA 7 O1")
+	c.checkAnswer(t, "VA 7 O1")
 	f.checkServers(t, r, "a", standin.OriginID)
 	f.checkTimeLeft(t, r)
 }
 
-// A command that waits unread, as its connection has as many in line as may be, loses that time: both where it has been read
-// with those before it and where it stands in the kernel.
-func TestTimeLeftOfCommandsUnread(t *testing.T) {
+// A command that waits because its connection has the maximum number of unanswered commands loses the time that it waits, both in
+// the program's buffer and in the kernel's.
+func TestTimeLeftOfUnreadCommands(t *testing.T) {
 	const (
-		mostInLine = 256 // commands of a connection that the program reads before it answers the first
-		atOnce     = 8   // commands that are sent together, no more than its host may have out
+		maxPipelined = 256 // commands of a connection that the program parses before it answers the first
+		batchSize    = 8   // commands sent together, at most as many as the host may have in progress
 	)
-	f := &fleet{settings: longTTLSettings(`"targetLatencyUs":200000`, `"targetLatencyUs":2000000`)} // so that the slow one narrows no gate
+	// A high target latency, so that the slow answer does not reduce the host's concurrency limit.
+	f := &fleet{settings: longTTLSettings(`"targetLatencyUs":200000`, `"targetLatencyUs":2000000`)}
 	f.Host("a", hitWithSlowKey(900*time.Millisecond))
 	c := startFleet(t, f)
 	var sent []request
@@ -55,25 +56,27 @@
 			sent = append(sent, r)
 		}
 	}
-	for len(sent) < mostInLine-atOnce {
-		send(atOnce)
+	for len(sent) < maxPipelined-batchSize {
+		send(batchSize)
 		time.Sleep(5 * time.Millisecond)
 	}
-	send(2 * atOnce) // half of them are read with the last in line
+	send(2 * batchSize) // half of them are buffered behind the last one that is parsed
 	time.Sleep(100 * time.Millisecond)
-	send(atOnce)
+	send(batchSize)
 	for range sent {
 		c.readAnswer(t)
 	}
-	attempts := func(part []request) (n int) {
-		for _, r := range part {
+	countAttempts := func(requests []request) (count int) {
+		for _, r := range requests {
 			f.checkTimeLeft(t, r)
-			n += len(f.attempts(r))
+			count += len(f.attempts(r))
 		}
-		return n
+		return count
 	}
-	inLine, read, unread := attempts(sent[:mostInLine]), attempts(sent[mostInLine:mostInLine+atOnce]), attempts(sent[mostInLine+atOnce:])
-	if inLine == 0 || read == 0 || unread == 0 {
-		t.Errorf("attempts: %d of commands in line, %d of those read behind them, %d of those unread; want some of each", inLine, read, unread)
+	pipelined, read, unread := countAttempts(sent[:maxPipelined]),
+		countAttempts(sent[maxPipelined:maxPipelined+batchSize]), countAttempts(sent[maxPipelined+batchSize:])
+	if pipelined == 0 || read == 0 || unread == 0 {
+		t.Errorf("attempts: %d of parsed commands, %d of buffered ones, %d of those left in the kernel; want some of each",
+			pipelined, read, unread)
 	}
 }
