--- a/balance/balance.go
+++ b/balance/balance.go
@@ -187,7 +187,7 @@
 // Advance takes the time and does what has fallen due.
 func (b *Balancer) Advance(now float64) {
 	b.now = now
-	for d, ok := b.opTimers.Due(now); ok; d, ok = b.opTimers.Due(now) {
+	for d, ok := b.opTimers.PopDue(now); ok; d, ok = b.opTimers.PopDue(now) {
 		switch op := d.op; {
 		case op == nil: // a key has rested
 			b.startNext(d.keyQueue)
@@ -238,13 +238,13 @@
 		return
 	}
 	// Only now has all been heard that has come: the answer to a push may stand among what a round has read.
-	for d, ok := b.pushTimers.Due(b.now); ok; d, ok = b.pushTimers.Due(b.now) {
+	for d, ok := b.pushTimers.PopDue(b.now); ok; d, ok = b.pushTimers.PopDue(b.now) {
 		switch p := d.push; {
 		case p.localWait > 0:
 			if p.newConn {
 				p.localWait += b.connSetup.avgLatency + checkDelayDevs*b.connSetup.latencyDev
 			}
-			b.schedule(&b.pushTimers, d, d.At()+p.localWait)
+			b.schedule(&b.pushTimers, d, d.DueAt()+p.localWait)
 			p.localWait = 0
 		case p.Op.state < stateStreaming:
 			b.checkSlowPush(p)
@@ -267,7 +267,7 @@
 		}
 		b.dispatch(g)
 	}
-	next := min(b.lastSweep+sweepInterval, b.opTimers.Next(), b.pushTimers.Next())
+	next := min(b.lastSweep+sweepInterval, b.opTimers.NextDue(), b.pushTimers.NextDue())
 	if len(b.fleetLimiter.queue)+len(b.originLimiter.queue) > 0 {
 		next = math.Min(next, b.now+tickInterval)
 	}
--- a/cmd/larchthread/client_leaves_test.go
+++ b/cmd/larchthread/client_leaves_test.go
@@ -19,7 +19,7 @@
 	var gone atomic.Int64
 	var late atomic.Int32
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} { // one that is silent is left for the next
-		f.Host(name, func([]string) string {
+		f.AddHost(name, func([]string) string {
 			if at := gone.Load(); at > 0 && time.Since(time.UnixMilli(at)) > 100*time.Millisecond {
 				late.Add(1)
 			}
@@ -49,7 +49,7 @@
 // A client that has left before its connection is accepted is not served: its op was once sent on, and called off behind it.
 func Example_leftBeforeAccept() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	other := f.newClient()
@@ -75,14 +75,14 @@
 // A client that leaves amid a long answer has the rest called off at its host.
 func Example_leftWhileAnswered() {
 	f := &fleet{}
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	f.Serve(l, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		r.ReadString('\n')
 		io.WriteString(c, "VA 100000 O1\r\n"+longValue[:70000])
 		r.ReadString('\n')
-		f.Note("closed")
+		f.Notef("closed")
 	})
 	f.start()
 	defer f.stop()
@@ -100,7 +100,7 @@
 // What comes behind the program's half of a connection has ended is not sent on, and the answers before are whole.
 func Example_opBehindTheHalfClose() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -118,9 +118,9 @@
 // A client that leaves while its long write goes out has that broken off: half a command does nothing.
 func Example_leftWhileWritten() {
 	f := &fleet{}
-	f.Host("a", miss)
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	begun, read := make(chan bool), make(chan bool)
 	whole := make(chan bool)
 	f.Serve(l, func(c net.Conn) {
--- a/cmd/larchthread/clients_test.go
+++ b/cmd/larchthread/clients_test.go
@@ -17,7 +17,7 @@
 // served.
 func Example_sockets() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	answered := 0
@@ -45,7 +45,7 @@
 // A flood of connections that say nothing makes room before those of usual clients, which once went first, being older.
 func Example_flood() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -68,7 +68,7 @@
 // clients may have a third of the sockets at most, later ones were once not heard for seconds.
 func Example_surplus() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	var all []*client
@@ -95,7 +95,7 @@
 // A command under the id of an open op is turned down, and that op goes on. Hosts once got both, and turned both away.
 func Example_sameID() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		time.Sleep(50 * time.Millisecond)
 		return hit(words)
 	})
@@ -122,7 +122,7 @@
 // that has fallen silent.
 func Example_leaver() {
 	f := &fleet{}
-	f.Host("a", hitWithSlowKey(30*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(30*time.Millisecond))
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -160,7 +160,7 @@
 		"SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n", "CLIENT_ERROR what\r\n", "EN Oother\r\n", "\x00\x01\x02\r\n",
 		"VA 99999999999999999999 O{id}\r\n", strings.Repeat("z", 9000), "VA 2 O{id}\r\nokEN O{id}\r\n"}
 	for _, name := range []string{"a", "b", "c"} {
-		f.Host(name, func(words []string) string {
+		f.AddHost(name, func(words []string) string {
 			switch n := draw(3 * len(odd)); {
 			case n < len(odd):
 				return strings.ReplaceAll(odd[n], "VA 2 O{id}\r\nok", "VA 2 O{id}\r\n"+words[1])
@@ -170,7 +170,7 @@
 			return fmt.Sprintf("VA 2 O{id}\r\n%s\r\n", words[1])
 		})
 	}
-	f.Origin(func(w http.ResponseWriter, r *http.Request) {
+	f.AddOrigin(func(w http.ResponseWriter, r *http.Request) {
 		answer := []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + r.URL.Path[1:], "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
 			"HTTP/1.1 503 no\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n" + r.URL.Path[1:],
 			"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", "nonsense\r\n", "",
@@ -231,7 +231,7 @@
 // A client that takes its answers late gets them all, also those to commands that were not read meanwhile.
 func Example_lateReader() {
 	f := &fleet{}
-	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
+	f.AddHost("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -258,7 +258,7 @@
 // A client that does not take its answers costs neither the memory nor the service of the others.
 func Example_slowReader() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":256}`}
-	f.Host("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
+	f.AddHost("a", func([]string) string { return "VA 60000 O{id}\r\n" + strings.Repeat("x", 60000) + "\r\n" })
 	f.start()
 	var slow []*client
 	for range 30 {
@@ -286,7 +286,7 @@
 // Neither do clients that begin large commands and never finish them.
 func Example_halfSent() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":512}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	var half []*client
 	for range 300 {
--- a/cmd/larchthread/commands_test.go
+++ b/cmd/larchthread/commands_test.go
@@ -136,9 +136,9 @@
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
 	}
-	f.Host("a", varied)
-	f.Host("b", varied)
-	f.Origin(handleOrigin)
+	f.AddHost("a", varied)
+	f.AddHost("b", varied)
+	f.AddOrigin(handleOrigin)
 	line := func(i int, kind string) string {
 		at := regexp.MustCompile(`"id":"(.*?)","host_port":"(.*?)"`).FindStringSubmatch(f.Members[i])
 		return fmt.Sprintf("%s,%s,z,%s\n", at[1], at[2], kind)
@@ -188,7 +188,7 @@
 	put(strings.TrimSuffix(text, line2(text)))
 	fmt.Println(soon("known_cache_hosts:1"))
 	time.Sleep(500 * time.Millisecond)
-	f.Forget()
+	f.TakeNotes()
 	time.Sleep(100 * time.Millisecond)
 	heard := strings.Join(f.Notes(), " ")
 	fmt.Println("a hears:", strings.Contains(heard, "a: mg"), "b hears:", strings.Contains(heard, "b: mg"))
--- a/cmd/larchthread/discovery_test.go
+++ b/cmd/larchthread/discovery_test.go
@@ -20,7 +20,7 @@
 // Lists are asked for also where the settings say that they are pushed: what discovery has is told to those who watch.
 func Example_pushedLists() {
 	f := &fleet{settings: replaceSetting(`"discovery":"on_request"`, `"discovery":"pushed"`)}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start() // the watch stands
 	defer f.stop()
 	f.drainFirstHost()
@@ -35,10 +35,10 @@
 func Example_watchWithoutEntries() {
 	for _, revision := range []int{7, 0} {
 		f := &fleet{}
-		f.Host("a", hit)
+		f.AddHost("a", hit)
 		f.start()
-		f.Changed <- standin.List(revision, false)
-		f.Changed <- standin.List(9, true, strings.Replace(f.Members[0], "in_service", "terminating", 1))
+		f.WatchAnswers <- standin.HostListJSON(revision, false)
+		f.WatchAnswers <- standin.HostListJSON(9, true, strings.Replace(f.Members[0], "in_service", "terminating", 1))
 		f.awaitNote("discovery: ", 1)
 		f.awaitNote("discovery: 9", 1)
 		f.newClient().sendAndPrint(1, "mg k v O1 Pc=read,d=100\r\n")
@@ -53,13 +53,13 @@
 // those that have waited for too long.
 func Example_thirtyStartAtOnce() {
 	f := &fleet{}
-	f.Host("a", hit)
-	l := standin.Anywhere()
+	f.AddHost("a", hit)
+	l := standin.ListenLoopback()
 	f.Closers = append(f.Closers, l)
 	turn := make(chan bool, 1)
 	here := make(chan bool) // closed once all have called
 	var calls atomic.Int32
-	drained := standin.List(2, false, strings.Replace(f.Members[0], "in_service", "terminating", 1))
+	drained := standin.HostListJSON(2, false, strings.Replace(f.Members[0], "in_service", "terminating", 1))
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") == "2" {
 			<-r.Context().Done()
@@ -74,7 +74,7 @@
 			time.Sleep(60 * time.Millisecond)
 			<-turn
 			io.WriteString(w, drained)
-			f.Note("told")
+			f.Notef("told")
 		case <-time.After(time.Second):
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -113,13 +113,13 @@
 // SIGHUP while a call to the old discovery goes unanswered has the new one asked at once.
 func Example_reloadWhileCalled() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
-	hangs := standin.Anywhere()
+	hangs := standin.ListenLoopback()
 	f.Serve(hangs, func(c net.Conn) {
 		bufio.NewReader(c).ReadString('\n')
-		f.Note("called in vain")
+		f.Notef("called in vain")
 		io.Copy(io.Discard, c)
 	})
 	f.writeConfig(hangs.Addr().String())
--- a/cmd/larchthread/fleet_test.go
+++ b/cmd/larchthread/fleet_test.go
@@ -62,7 +62,7 @@
 
 // printNotes prints what has been noted since the last time, without discovery's calls: when those come is up to time.
 func (f *fleet) printNotes() {
-	for _, n := range f.Forget() {
+	for _, n := range f.TakeNotes() {
 		if !strings.HasPrefix(n, "discovery") {
 			fmt.Println(" ", n)
 		}
@@ -70,7 +70,7 @@
 }
 
 // oneName has the hosts x and x2 noted alike: which of them a key goes to first is of no matter.
-func (f *fleet) oneName() { f.Rename("x2:", "x:") }
+func (f *fleet) oneName() { f.ReplaceInNotes("x2:", "x:") }
 
 // freeAddress is an address that nobody has.
 func freeAddress() string {
@@ -92,7 +92,7 @@
 // writeConfig writes the configuration.
 func (f *fleet) writeConfig(discovery string) {
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"admin":%q,"discovery":%q,"seed":"7","limits":%s,"known":%s,"settings":%s}`,
-		f.listenAddress, f.adminAddress, discovery, f.limits, standin.List(1, true, f.Members...), f.settings)
+		f.listenAddress, f.adminAddress, discovery, f.limits, standin.HostListJSON(1, true, f.Members...), f.settings)
 	if !json.Valid([]byte(text)) {
 		panic(text)
 	}
@@ -103,7 +103,7 @@
 
 // start starts discovery and the program, and returns once its watch stands.
 func (f *fleet) start() {
-	f.Changed = make(chan string, 4)
+	f.WatchAnswers = make(chan string, 4)
 	f.listenAddress = freeAddress()
 	if f.limits == "" {
 		f.limits = `{"cores":1,"memory_mb":192,"sockets":1024}`
@@ -112,14 +112,14 @@
 		f.settings = defaultSettings
 	}
 	f.configPath = filepath.Join(os.TempDir(), fmt.Sprintf("larchthread-test-%d.json", os.Getpid()))
-	f.discoveryAddress = f.Lists("discovery")
+	f.discoveryAddress = f.ServeDiscovery("discovery")
 	f.writeConfig(f.discoveryAddress)
 	f.process = f.startProcess()
 	waitForListener(f.listenAddress)
 	if f.args == nil {
 		f.awaitNote("discovery: 1", 2)
 	}
-	f.Forget()
+	f.TakeNotes()
 }
 
 // waitForListener waits until an address takes connections.
@@ -200,7 +200,7 @@
 
 // drainFirstHost has discovery tell that the first host drains.
 func (f *fleet) drainFirstHost() {
-	f.Changed <- standin.List(2, false, strings.Replace(f.Members[0], standin.InService, standin.Terminating, 1))
+	f.WatchAnswers <- standin.HostListJSON(2, false, strings.Replace(f.Members[0], standin.InService, standin.Terminating, 1))
 }
 
 // stop ends what start began.
@@ -278,7 +278,7 @@
 // two pushes of an op are heard by two of them, in either order.
 func (f *fleet) printNotesSorted() {
 	f.oneName()
-	f.Sort()
+	f.SortNotes()
 	f.printNotes()
 }
 
--- a/cmd/larchthread/handover_failures_test.go
+++ b/cmd/larchthread/handover_failures_test.go
@@ -11,8 +11,8 @@
 func Example_stopAmidHandOver() {
 	f, remove := newHandoverFleet("amid")
 	defer remove()
-	f.Host("a", hitWithSlowKey(100*time.Millisecond))
-	f.Origin(handleOrigin)
+	f.AddHost("a", hitWithSlowKey(100*time.Millisecond))
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	successor := f.dialHandover(1)
@@ -46,8 +46,8 @@
 func Example_successorDiesAnywhere() {
 	f, remove := newHandoverFleet("anywhere")
 	defer remove()
-	f.Host("a", hit)
-	f.Origin(handleOrigin)
+	f.AddHost("a", hit)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	kept := f.newClient()
--- a/cmd/larchthread/host_connections_test.go
+++ b/cmd/larchthread/host_connections_test.go
@@ -71,8 +71,8 @@
 // again, or nacked, while it runs. A read that may have been answered so is given up by its connection before anything else.
 func Example_secondAnswer() {
 	f := &fleet{}
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	var conns atomic.Int32
 	f.Serve(l, func(c net.Conn) {
 		n := conns.Add(1)
@@ -80,11 +80,11 @@
 		for told := 0; ; told++ {
 			line, err := r.ReadString('\n')
 			if err != nil {
-				f.Note("connection %d closed", n)
+				f.Notef("connection %d closed", n)
 				return
 			}
 			words := strings.Fields(line)
-			f.Note("connection %d: %s", n, words[3])
+			f.Notef("connection %d: %s", n, words[3])
 			if told > 0 && strings.HasSuffix(words[3], "1") { // the one before is told of once more, and this one is at work for a while
 				io.WriteString(c, "SERVER_ERROR busy\r\n")
 				time.Sleep(100 * time.Millisecond)
@@ -147,9 +147,9 @@
 // An answer that comes before its push is written whole ends the connection: the next push would be taken for the rest.
 func Example_answerBeforeTheEnd() {
 	f := &fleet{}
-	f.Host("a", miss)
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	var conns atomic.Int32
 	f.Serve(l, func(c net.Conn) {
 		n := conns.Add(1)
@@ -159,7 +159,7 @@
 				return
 			}
 			if verb, rest, _ := strings.Cut(line, " "); verb == "PUT" || verb == "GET" {
-				f.Note("origin %d: %s %s", n, verb, strings.Fields(rest)[0])
+				f.Notef("origin %d: %s %s", n, verb, strings.Fields(rest)[0])
 				if verb == "GET" {
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nfetched")
 					continue
@@ -191,13 +191,13 @@
 // A push whose connection breaks before its last byte is written never ran: its op is nacked, also where it must not run twice.
 func Example_brokenWhileWritten() {
 	f := &fleet{}
-	f.Host("a", miss)
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	f.Serve(l, func(c net.Conn) {
 		bufio.NewReader(c).ReadString('\n')
-		f.Note("origin: begun")
-		standin.Reset(c)
+		f.Notef("origin: begun")
+		standin.ResetConn(c)
 	})
 	f.start()
 	defer f.stop()
--- a/cmd/larchthread/late_host_test.go
+++ b/cmd/larchthread/late_host_test.go
@@ -45,7 +45,7 @@
 	h := newSlowConnectHost()
 	f := &fleet{settings: strings.NewReplacer(`"connectTimeoutUs":50000`, `"connectTimeoutUs":2000000`, `"cancelling":true`,
 		`"cancelling":false`, `"ttlUs":600000`, `"ttlUs":3000000`).Replace(sets)}
-	f.Members = append(f.Members, standin.ListEntry("a", h.Addr().String(), standin.KindHost, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("a", h.Addr().String(), standin.KindHost, standin.InService))
 	f.start()
 	return f, h
 }
--- a/cmd/larchthread/lists_test.go
+++ b/cmd/larchthread/lists_test.go
@@ -12,7 +12,7 @@
 // A watch goes on after each answer; a draining host gets nothing more; after a failure a new watch begins.
 func Example_watch() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -20,10 +20,10 @@
 	f.drainFirstHost()
 	f.awaitNote("a: connection closed", 1)
 	c.sendAndPrint(1, "mg k v O2 Pc=read,d=100\r\n")
-	f.Changed <- standin.List(3, true, f.Members[0])
+	f.WatchAnswers <- standin.HostListJSON(3, true, f.Members[0])
 	f.awaitNote("discovery: 3", 1)
 	c.sendAndPrint(2, "mg k v O3 Pc=read,d=500\r\n")
-	f.Changed <- "down"
+	f.WatchAnswers <- "down"
 	f.awaitNote("discovery: 3", 3) // the new watch, and its second call
 	f.printNotes()
 	// Output:
@@ -41,7 +41,7 @@
 // its connection for nothing. They once stayed for as long as there were sockets.
 func Example_silent() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	silent, half, value, kept := f.newClient(), f.newClient(), f.newClient(), f.newClient()
@@ -76,7 +76,7 @@
 // read changes nothing. The program once ended on SIGHUP.
 func Example_reload() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		time.Sleep(100 * time.Millisecond)
 		return hit(words)
 	})
@@ -86,7 +86,7 @@
 	os.WriteFile(f.configPath, []byte("{"), 0o600)
 	f.process.Process.Signal(syscall.SIGHUP)
 	c.sendAndPrint(2, "mg k v O1 Pc=read,d=500\r\n")
-	f.writeConfig(f.Lists("discovery, moved"))
+	f.writeConfig(f.ServeDiscovery("discovery, moved"))
 	c.sendAndPrint(0, "mg k v O2 Pc=read,d=500\r\n")
 	f.awaitNote("a: mg k v O2 Pc=read,d=..", 1)
 	f.process.Process.Signal(syscall.SIGHUP)
@@ -112,7 +112,7 @@
 // A watch whose call is never answered is begun again on a new connection.
 func Example_deadWatch() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	f.awaitNote("discovery: 1", 2) // no answer comes to the calls that wait: the first of a new watch, and its second
--- a/cmd/larchthread/long_test.go
+++ b/cmd/larchthread/long_test.go
@@ -19,7 +19,7 @@
 // would hold; small ops are served meanwhile. One that breaks off in the middle ends the client's connection there.
 func Example_longReads() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":512}`}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		switch {
 		case strings.HasPrefix(words[1], "far"):
 			return miss(words)
@@ -33,7 +33,7 @@
 		}
 		return hit(words)
 	})
-	f.Origin(func(w http.ResponseWriter, r *http.Request) {
+	f.AddOrigin(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(len(longValue)))
 		io.WriteString(w, longValue)
 	})
@@ -84,8 +84,8 @@
 // middle of one doesn't hold up the others for good, and one that is too long is refused at once.
 func Example_longWrites() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":512}`}
-	f.Host("a", hit)
-	f.Origin(handleOrigin)
+	f.AddHost("a", hit)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	var all sync.WaitGroup
@@ -133,8 +133,8 @@
 // A long value that its host gives by and by is passed on whole, also far past its op's TTL: the host is still giving it.
 func Example_longTrickle() {
 	f := &fleet{}
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	f.Serve(l, func(c net.Conn) {
 		bufio.NewReader(c).ReadString('\n')
 		io.WriteString(c, "VA 100000 O1\r\n")
@@ -158,7 +158,7 @@
 // are over then, and neither keeps the host from others.
 func Example_longStuck() {
 	f := &fleet{adminAddress: freeAddress()}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		switch words[1] {
 		case "half":
 			return "VA 100000 O{id}\r\n" + longValue[:50000]
@@ -167,7 +167,7 @@
 		}
 		return hit(words)
 	})
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	half, slow := f.newClient(), f.newClient()
--- a/cmd/larchthread/main.go
+++ b/cmd/larchthread/main.go
@@ -105,7 +105,7 @@
 // byHand takes the list of hosts from the file that describes the fleet, now and whenever it changes. A file that can't be used
 // leaves the last list in force; at the start that is the one in the start file, if there is one.
 func byHand(mine params.OperatorFile, router *routing.Router, log *slog.Logger) error {
-	watcher, hosts, err := inventory.Begin(mine.InventoryPath)
+	watcher, hosts, err := inventory.NewWatcher(mine.InventoryPath)
 	switch {
 	case err == nil:
 		router.SetInventory(hosts)
@@ -117,7 +117,7 @@
 	go func() {
 		for {
 			time.Sleep(mine.PollInterval)
-			switch hosts, err := watcher.Look(); {
+			switch hosts, err := watcher.Poll(); {
 			case err != nil:
 				log.Error("inventory kept as it was", "error", err)
 			case hosts != nil:
--- a/cmd/larchthread/main_test.go
+++ b/cmd/larchthread/main_test.go
@@ -28,13 +28,13 @@
 // Reads go to the cache host and, after a miss, to the origin; writes go to the origin. Bad commands are named.
 func Example() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		if words[1] == "cold" {
 			return miss(words)
 		}
 		return hit(words)
 	})
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
--- a/cmd/larchthread/many_test.go
+++ b/cmd/larchthread/many_test.go
@@ -22,7 +22,7 @@
 // Where `limits.sockets` has room for them, 1,024 clients keep their connections while all rest at once, and each is served on it again.
 func TestManyIdleClients(t *testing.T) {
 	f := &fleet{limits: `{"cores":1,"memory_mb":192,"sockets":8192}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	for range passes {
@@ -84,7 +84,7 @@
 	reached := &hostSet{names: map[string]bool{}}
 	for i := range all {
 		name := fmt.Sprint("cache", i)
-		f.Host(name, func(words []string) string {
+		f.AddHost(name, func(words []string) string {
 			reached.add(name)
 			return hit(words)
 		})
@@ -95,11 +95,11 @@
 	defer f.stop()
 	f.reachAll(t, reached, first)
 
-	f.Changed <- standin.List(2, true, members...)
+	f.WatchAnswers <- standin.HostListJSON(2, true, members...)
 	f.awaitHosts(t, all)
 	f.reachAll(t, reached, all)
 
-	f.Changed <- standin.List(3, false, strings.Replace(members[7], standin.InService, standin.Terminated, 1))
+	f.WatchAnswers <- standin.HostListJSON(3, false, strings.Replace(members[7], standin.InService, standin.Terminated, 1))
 	f.awaitHosts(t, all-1)
 	f.reachAll(t, reached, all-1)
 	if reached.has("cache7") {
--- a/cmd/larchthread/operators_test.go
+++ b/cmd/larchthread/operators_test.go
@@ -19,7 +19,7 @@
 // flood the balancer. The figures tell what hosts and clients have seen, and a host taken out by hand gets nothing new.
 func Example_operators() {
 	f := &fleet{adminAddress: freeAddress()}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		switch words[1] {
 		case "cold":
 			return miss(words)
@@ -28,7 +28,7 @@
 		}
 		return hit(words)
 	})
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	for range 40 {
@@ -51,7 +51,7 @@
 		word, id, _ := strings.Cut(call, " ")
 		fmt.Println(call, f.callAdmin("POST", "/maintenance/"+word, id))
 	}
-	f.Changed <- standin.List(2, true, f.Members...) // whatever discovery says meanwhile
+	f.WatchAnswers <- standin.HostListJSON(2, true, f.Members...) // whatever discovery says meanwhile
 	f.awaitNote("discovery: 2", 1)
 	c.sendAndPrint(2, "mg hot v O4 Pc=read,d=500\r\n") // the last host is out: from the origin
 	fmt.Println(regexp.MustCompile("(passed.read:3|skipped_cache_hosts:1)").FindAllString(f.callAdmin("GET", "/status/metrics", ""), -1))
@@ -106,7 +106,7 @@
 func TestManyOperatorCalls(t *testing.T) {
 	const calls = 200
 	f := &fleet{adminAddress: freeAddress()}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	caller := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/cmd/larchthread/process_test.go
+++ b/cmd/larchthread/process_test.go
@@ -17,7 +17,7 @@
 // After SIGTERM what was taken is answered, new connections are served for a while, and the program ends by itself.
 func Example_stop() {
 	f := &fleet{}
-	f.Host("a", hitWithSlowKey(100*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
 	c, idle := f.newClient(), f.newClient()
@@ -47,7 +47,7 @@
 // that are open are used without a pause for as long as they are. One may close between two commands.
 func Example_stopUnderLoad() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		time.Sleep(3 * time.Millisecond)
 		return hit(words)
 	})
@@ -104,7 +104,7 @@
 // After a stall of the process a command may have waited for as long: one whose time may be over is given up.
 func Example_stall() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -131,7 +131,7 @@
 	}
 	defer r.Close()
 	f := &fleet{logOutput: w}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	for range 1500 { // a line each: more than a pipe holds
--- a/cmd/larchthread/pushes_test.go
+++ b/cmd/larchthread/pushes_test.go
@@ -20,9 +20,9 @@
 // was asked for each key that is its own: at hundreds of balancers that was more than one push an op for nothing.
 func Example_tableFull() {
 	f := &fleet{}
-	f.Host("x", func([]string) string { return "SERVER_ERROR busy\r\ndrop" })
-	f.Host("b", hit)
-	f.Origin(handleOrigin)
+	f.AddHost("x", func([]string) string { return "SERVER_ERROR busy\r\ndrop" })
+	f.AddHost("b", hit)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -55,13 +55,13 @@
 // Commands in one write, or in pieces, are answered in their order, also where a later one is served first.
 func Example_pipeline() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		if words[1] == "slow" {
 			time.Sleep(30 * time.Millisecond)
 		}
 		return "VA 4 O{id}\r\n" + (words[1] + "....")[:4] + "\r\n"
 	})
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -106,9 +106,9 @@
 			return hit(words)
 		}
 	}
-	f.Host("a", bad("VA 5 Oother\r\nwrong\r\n"))
-	f.Host("b", bad("VA 5 Oother\r\nwrong\r\n"))
-	f.Origin(handleOrigin)
+	f.AddHost("a", bad("VA 5 Oother\r\nwrong\r\n"))
+	f.AddHost("b", bad("VA 5 Oother\r\nwrong\r\n"))
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	c := f.newClient()
@@ -124,7 +124,7 @@
 // have run it, one that is gone has not, and one that turns it away has not.
 func Example_neverRan() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		switch words[1] {
 		case "break":
 			return "drop"
@@ -167,18 +167,18 @@
 		if err != nil {
 			return
 		}
-		f.Note("x: %s", strings.TrimSpace(line))
+		f.Notef("x: %s", strings.TrimSpace(line))
 		if first.CompareAndSwap(nil, c.(*net.TCPConn)) { // silent, and its end is left unread for the next to see
 			<-ended
 			return
 		}
-		f.Note("the first connection is closed: %t", endStandsUnread(first.Load()))
+		f.Notef("the first connection is closed: %t", endStandsUnread(first.Load()))
 		io.WriteString(c, "VA 5 O1\r\nvalue\r\n")
 		<-ended
 	}
 	for _, name := range []string{"x", "x2"} {
-		l := standin.Anywhere()
-		f.Members = append(f.Members, standin.ListEntry(name, l.Addr().String(), standin.KindHost, standin.InService))
+		l := standin.ListenLoopback()
+		f.Members = append(f.Members, standin.MemberJSON(name, l.Addr().String(), standin.KindHost, standin.InService))
 		f.Serve(l, serve)
 	}
 	f.start()
@@ -232,8 +232,8 @@
 		time.Sleep(50 * time.Millisecond)
 		return hit(words)
 	}
-	f.Host("x", say)
-	f.Host("x2", say)
+	f.AddHost("x", say)
+	f.AddHost("x2", say)
 	f.start()
 	return f
 }
@@ -327,9 +327,9 @@
 // A load report that is garbage costs nothing but itself.
 func Example_garbledReport() {
 	f := &fleet{settings: settingsWithCopies}
-	f.Host("a", miss)
+	f.AddHost("a", miss)
 	reports := []string{"busy=0.5,q=2", "busy=,q", "=,=,,busy=NaN,q=-3", "busy=1e999,\u00ff=4", strings.Repeat("q=1,", 99)}
-	f.Origin(func(w http.ResponseWriter, r *http.Request) {
+	f.AddOrigin(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Server-Load", reports[0])
 		reports = reports[1:]
 		handleOrigin(w, r)
@@ -356,7 +356,7 @@
 // Bytes behind an answer are not taken for the next op's: the connection ends, and the next op gets a new one.
 func Example_leftover() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		if words[1] == "twice" {
 			return "VA 5 O{id}\r\nfirst\r\nVA 5 O2\r\nwrong\r\n"
 		}
@@ -383,7 +383,7 @@
 func Example_stale() {
 	f := &fleet{}
 	n := 0
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		if n++; n == 2 {
 			return "drop"
 		}
@@ -408,7 +408,7 @@
 // A host that falls silent gets a new connection: those that are idle from before may be dead without a word.
 func Example_vanished() {
 	f := &fleet{}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		switch words[1] {
 		case "slow":
 			time.Sleep(30 * time.Millisecond)
--- a/cmd/larchthread/resource_limits_test.go
+++ b/cmd/larchthread/resource_limits_test.go
@@ -13,7 +13,7 @@
 // An op on a connection that would be ended in the same moment, for silence or to make room, is served.
 func Example_opAtTheEnd() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":512}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	var all []*client
@@ -42,7 +42,7 @@
 // Where connections are ended to make room, none is that an op has just come on.
 func Example_opAsRoomIsMade() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	var usual []*client
@@ -76,7 +76,7 @@
 // from coming back nor known clients from being served.
 func Example_descriptorsFull() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	known := f.newClient()
@@ -99,7 +99,7 @@
 	for i := range 100 {
 		if i%10 == 0 {
 			select {
-			case f.Changed <- "down":
+			case f.WatchAnswers <- "down":
 			default:
 			}
 		}
@@ -111,10 +111,10 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	fmt.Println(served, "served")
-	for len(f.Changed) > 0 {
-		<-f.Changed
+	for len(f.WatchAnswers) > 0 {
+		<-f.WatchAnswers
 	}
-	f.Forget()
+	f.TakeNotes()
 	f.awaitNote("discovery: 1", 2)
 	stop.Store(true)
 	all.Wait()
@@ -125,7 +125,7 @@
 // A flood that is there to be read in one round stays within the memory: what it would fill is let go of first.
 func Example_floodInOneRound() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":1024}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	before := f.peakMemoryMB()
@@ -151,7 +151,7 @@
 // Room is made for new connections also while memory is full, and those that could make it have something unread.
 func Example_roomWhileMemoryIsFull() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":24,"sockets":1024}`}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	var all []*client
@@ -179,7 +179,7 @@
 // Of many connections with nothing open none is ended that an op has just come on.
 func Example_opAsOneOfMany() {
 	f := &fleet{limits: `{"cores":1,"memory_mb":64,"sockets":96}`} // sixteen may rest
-	f.Host("a", hitWithSlowKey(100*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
 	var all []*client
--- a/cmd/larchthread/shutdown_test.go
+++ b/cmd/larchthread/shutdown_test.go
@@ -14,7 +14,7 @@
 // A signal that comes before the program has read its start file is heeded once it serves. It once ended the program.
 func Example_signalWhileStarting() {
 	f := &fleet{}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	f.process.Process.Kill()
@@ -56,7 +56,7 @@
 func Example_stopBeforeLateReader() {
 	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
 	value := strings.Repeat("x", 65000)
-	f.Host("a", func([]string) string {
+	f.AddHost("a", func([]string) string {
 		time.Sleep(700 * time.Millisecond)
 		return "VA 65000 O{id}\r\n" + value + "\r\n"
 	})
@@ -96,7 +96,7 @@
 // sent on; what came before is answered first.
 func Example_opBehindTheStop() {
 	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
-	f.Host("a", func(words []string) string {
+	f.AddHost("a", func(words []string) string {
 		if words[1] == "slow" {
 			time.Sleep(1200 * time.Millisecond)
 		}
@@ -124,7 +124,7 @@
 // comes too late to be sent on.
 func Example_halfAtTheStop() {
 	f := &fleet{settings: strings.ReplaceAll(defaultSettings, `"ttlUs":600000`, `"ttlUs":3000000`)}
-	f.Host("a", hit)
+	f.AddHost("a", hit)
 	f.start()
 	defer f.stop()
 	soon, late := f.newClient(), f.newClient()
@@ -153,7 +153,7 @@
 // A second word to stop, and one to read the configuration anew, change nothing of how the program ends.
 func Example_signalsWhileStopping() {
 	f := &fleet{}
-	f.Host("a", hitWithSlowKey(100*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(100*time.Millisecond))
 	f.start()
 	defer f.stop()
 	c := f.newClient()
--- a/cmd/larchthread/speed_test.go
+++ b/cmd/larchthread/speed_test.go
@@ -36,8 +36,8 @@
 
 // addFastHost adds a cache host that answers each command with a value of one byte after a delay, and records nothing.
 func (f *fleet) addFastHost(name string, delay time.Duration) {
-	l := standin.Anywhere()
-	f.Members = append(f.Members, standin.ListEntry(name, l.Addr().String(), "box", "in_service"))
+	l := standin.ListenLoopback()
+	f.Members = append(f.Members, standin.MemberJSON(name, l.Addr().String(), "box", "in_service"))
 	f.Serve(l, func(c net.Conn) { serveFastHost(c, delay) })
 }
 
@@ -54,7 +54,7 @@
 		panic(err)
 	}
 	for lines, i := bufio.NewScanner(out), 0; i < n && lines.Scan(); i++ {
-		f.Members = append(f.Members, standin.ListEntry(fmt.Sprint("h", i), lines.Text(), "box", "in_service"))
+		f.Members = append(f.Members, standin.MemberJSON(fmt.Sprint("h", i), lines.Text(), "box", "in_service"))
 	}
 	return func() {
 		p.Process.Kill()
@@ -73,7 +73,7 @@
 	}
 	f := &fleet{}
 	for range count {
-		l := standin.Anywhere()
+		l := standin.ListenLoopback()
 		f.Serve(l, func(c net.Conn) { serveFastHost(c, delay) })
 		fmt.Println(l.Addr())
 	}
--- a/cmd/larchthread/time_left_connection_test.go
+++ b/cmd/larchthread/time_left_connection_test.go
@@ -77,9 +77,9 @@
 // When the origin reads a long write slowly, the time that it is told does not exceed what is left when the last byte is sent.
 func TestTimeLeftOfLongWriteToOrigin(t *testing.T) {
 	f := &fleet{settings: longTTLSettings()}
-	f.Host("a", miss)
+	f.AddHost("a", miss)
 	l := newStallingListener(t, 700*time.Millisecond)
-	f.Members = append(f.Members, standin.ListEntry("log", l.Addr().String(), standin.KindOrigin, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("log", l.Addr().String(), standin.KindOrigin, standin.InService))
 	f.ServeOrigin(l, handleOrigin)
 	c := startFleet(t, f)
 	r := c.sendRequest(t, longWriteCommand)
@@ -92,7 +92,7 @@
 func TestTimeLeftOfLongWriteToHost(t *testing.T) {
 	f := &fleet{settings: longTTLSettings(`"mode":"aside",`, ``)}
 	l := newStallingListener(t, 700*time.Millisecond)
-	f.Members = append(f.Members, standin.ListEntry("a", l.Addr().String(), standin.KindHost, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("a", l.Addr().String(), standin.KindHost, standin.InService))
 	f.ServeHost("a", l, acceptWrite)
 	c := startFleet(t, f)
 	r := c.sendRequest(t, longWriteCommand)
@@ -109,7 +109,7 @@
 // When the connection to a host is established late, the host is told the time left at that moment.
 func TestTimeLeftOnLateConnectionToHost(t *testing.T) {
 	f, h := &fleet{settings: lateConnectSettings()}, newSlowConnectHost()
-	f.Members = append(f.Members, standin.ListEntry("a", h.Addr().String(), standin.KindHost, standin.InService))
+	f.Members = append(f.Members, standin.MemberJSON("a", h.Addr().String(), standin.KindHost, standin.InService))
 	c := startFleet(t, f)
 	h.fillBacklog()
 	defer h.backlogConn.Close()
@@ -124,8 +124,8 @@
 // When the connection to the origin is established late, the origin is told the time left at that moment.
 func TestTimeLeftOnLateConnectionToOrigin(t *testing.T) {
 	f, h := &fleet{settings: lateConnectSettings()}, newSlowConnectHost()
-	f.Host("a", miss)
-	f.Members = append(f.Members, standin.ListEntry("log", h.Addr().String(), standin.KindOrigin, standin.InService))
+	f.AddHost("a", miss)
+	f.Members = append(f.Members, standin.MemberJSON("log", h.Addr().String(), standin.KindOrigin, standin.InService))
 	c := startFleet(t, f)
 	h.fillBacklog()
 	defer h.backlogConn.Close()
--- a/cmd/larchthread/time_left_reading_test.go
+++ b/cmd/larchthread/time_left_reading_test.go
@@ -37,7 +37,7 @@
 	)
 	// A high target latency, so that the slow answer does not reduce the host's concurrency limit.
 	f := &fleet{settings: longTTLSettings(`"targetLatencyUs":200000`, `"targetLatencyUs":2000000`)}
-	f.Host("a", hitWithSlowKey(900*time.Millisecond))
+	f.AddHost("a", hitWithSlowKey(900*time.Millisecond))
 	c := startFleet(t, f)
 	var sent []request
 	send := func(n int) {
--- a/cmd/larchthread/time_left_test.go
+++ b/cmd/larchthread/time_left_test.go
@@ -56,9 +56,9 @@
 func startWithHosts(t *testing.T, f *fleet, hosts ...func([]string) string) *client {
 	t.Helper()
 	for i, handler := range hosts {
-		f.Host(string(rune('a'+i)), handler)
+		f.AddHost(string(rune('a'+i)), handler)
 	}
-	f.Origin(handleOrigin)
+	f.AddOrigin(handleOrigin)
 	return startFleet(t, f)
 }
 
@@ -118,7 +118,7 @@
 // attempts returns the attempts of a request that the servers have recorded.
 func (f *fleet) attempts(r request) (matching []standin.Attempt) {
 	for _, a := range f.Attempts() {
-		if a.Op == r.id {
+		if a.OpID == r.id {
 			matching = append(matching, a)
 		}
 	}
@@ -133,7 +133,7 @@
 		left := r.remaining(a)
 		if a.TimeLeft <= 0 || a.TimeLeft > r.timeLeft || a.TimeLeft > left+timeLeftTolerance {
 			t.Errorf("op %s, %s at %s: d=%s exceeds the time left, %v of %v, or is not positive",
-				a.Op, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
+				a.OpID, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
 		}
 	}
 }
@@ -145,13 +145,15 @@
 	for _, a := range f.attempts(r) {
 		if left := r.remaining(a); float64(a.TimeLeft) < minTimeLeftShare*float64(left) {
 			t.Errorf("op %s, %s at %s: d=%s is too small, %v of %v was left",
-				a.Op, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
+				a.OpID, a.Verb, a.Server, a.TimeLeftText, left, r.timeLeft)
 		}
 	}
 }
 
 // remaining returns the time that the client had left when the server received an attempt.
-func (r request) remaining(a standin.Attempt) time.Duration { return r.timeLeft - a.Came.Sub(r.sent) }
+func (r request) remaining(a standin.Attempt) time.Duration {
+	return r.timeLeft - a.ReceivedAt.Sub(r.sent)
+}
 
 // checkServers checks that a request's attempts went to these servers, in this order. A name may be a regular expression.
 func (f *fleet) checkServers(t *testing.T, r request, want ...string) {
@@ -236,7 +238,7 @@
 		for _, a := range f.attempts(r) {
 			if a.Attributes != op.attributes || a.Repeat != op.repeat {
 				t.Errorf("op %s at %s: attributes %q, repeat %t, want %q, %t",
-					a.Op, a.Server, a.Attributes, a.Repeat, op.attributes, op.repeat)
+					a.OpID, a.Server, a.Attributes, a.Repeat, op.attributes, op.repeat)
 			}
 		}
 	}
--- a/cmd/larchthread/upgrade_test.go
+++ b/cmd/larchthread/upgrade_test.go
@@ -18,9 +18,9 @@
 		time.Sleep(time.Duration(5+3*len(words[1])) * time.Millisecond)
 		return hit(words)
 	}
-	f.Host("a", varied)
-	f.Host("x", varied)
-	f.Origin(handleOrigin)
+	f.AddHost("a", varied)
+	f.AddHost("x", varied)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	fmt.Println(f.callAdmin("POST", "/maintenance/enter", "x"))
@@ -35,7 +35,7 @@
 	time.Sleep(50 * time.Millisecond)
 	done()
 	fmt.Println("x heard of it:", strings.Contains(strings.Join(f.Notes(), " "), "x: mg"))
-	f.Forget()
+	f.TakeNotes()
 	fmt.Println(f.callAdmin("POST", "/maintenance/exit", "x"))
 	c := f.newClient()
 	for i := range 20 {
@@ -60,8 +60,8 @@
 // before its yes and after it; and where it can't be asked, the two share the address.
 func Example_upgradeThatFails() {
 	f := &fleet{adminAddress: freeAddress()}
-	f.Host("x", hit)
-	f.Origin(handleOrigin)
+	f.AddHost("x", hit)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	first, old := f.adminAddress, f.process
@@ -107,8 +107,8 @@
 	f := &fleet{adminAddress: freeAddress(), tempDir: filepath.Join(os.TempDir(), strings.Repeat("long", 30), fmt.Sprint(os.Getpid()))}
 	os.MkdirAll(f.tempDir, 0o700)
 	defer os.RemoveAll(filepath.Dir(f.tempDir))
-	f.Host("a", hit)
-	f.Origin(handleOrigin)
+	f.AddHost("a", hit)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	n := 0
@@ -185,8 +185,8 @@
 func Example_upgradeAcrossVersions() {
 	f, remove := newHandoverFleet("across")
 	defer remove()
-	f.Host("a", hit)
-	f.Origin(handleOrigin)
+	f.AddHost("a", hit)
+	f.AddOrigin(handleOrigin)
 	f.start()
 	defer f.stop()
 	newer := f.dialHandover(2)
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -40,7 +40,7 @@
 type Record struct {
 	Number int    `json:"number"`
 	State  State  `json:"state"`
-	Why    string `json:"why,omitempty"` // of its end
+	Reason string `json:"why,omitempty"` // of its end
 	Before File   `json:"before"`
 	After  File   `json:"after"`
 }
@@ -51,8 +51,8 @@
 	Text string `json:"text"`
 }
 
-// InForce is the file whose list is in force.
-func (r Record) InForce() File {
+// ActiveFile is the file whose list is in force.
+func (r Record) ActiveFile() File {
 	if r.State == Applied || r.State == Confirmed {
 		return r.After
 	}
@@ -65,13 +65,13 @@
 	Load() ([]byte, error)
 }
 
-// ErrUnderWay is the error of a change proposed while another is open.
-var ErrUnderWay = errors.New("another change is under way")
+// ErrInProgress is the error of a change proposed while another is open.
+var ErrInProgress = errors.New("another change is under way")
 
 var errNone = errors.New("no change is under way")
 
-// Changes are an installation's changes, the latest of which is open or over.
-type Changes struct {
+// Manager are an installation's changes, the latest of which is open or over.
+type Manager struct {
 	store   Store
 	record  Record
 	hosts   []inventory.Host // in force
@@ -88,8 +88,8 @@
 
 // Open takes up what the store holds, or begins with a file where it holds nothing. A change whose trial a death cut short is
 // undone: nobody knows how it went.
-func Open(store Store, first File) (*Changes, error) {
-	c := &Changes{store: store}
+func Open(store Store, first File) (*Manager, error) {
+	c := &Manager{store: store}
 	raw, err := store.Load()
 	if err != nil {
 		return nil, err
@@ -110,14 +110,14 @@
 }
 
 // read makes the list that is in force of its text.
-func (c *Changes) read() (err error) {
-	f := c.record.InForce()
-	c.hosts, err = inventory.Read(f.Name, []byte(f.Text))
+func (c *Manager) read() (err error) {
+	f := c.record.ActiveFile()
+	c.hosts, err = inventory.Parse(f.Name, []byte(f.Text))
 	return err
 }
 
 // move is the one place where a change changes its state: it is kept first, and counts from then on.
-func (c *Changes) move(r Record) error {
+func (c *Manager) move(r Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -129,20 +129,20 @@
 	return nil
 }
 
-func (c *Changes) open() bool { return c.record.State == Staged || c.record.State == Applied }
+func (c *Manager) open() bool { return c.record.State == Staged || c.record.State == Applied }
 
 // Status is the latest change.
-func (c *Changes) Status() Record { return c.record }
+func (c *Manager) Status() Record { return c.record }
 
 // Hosts is the list in force.
-func (c *Changes) Hosts() []inventory.Host { return c.hosts }
+func (c *Manager) Hosts() []inventory.Host { return c.hosts }
 
 // Propose checks a file and stages its list. It returns what would change.
-func (c *Changes) Propose(f File) ([]inventory.Change, error) {
+func (c *Manager) Propose(f File) ([]inventory.Change, error) {
 	if c.open() {
-		return nil, fmt.Errorf("%w: number %d is %s", ErrUnderWay, c.record.Number, c.record.State)
+		return nil, fmt.Errorf("%w: number %d is %s", ErrInProgress, c.record.Number, c.record.State)
 	}
-	hosts, err := inventory.Read(f.Name, []byte(f.Text))
+	hosts, err := inventory.Parse(f.Name, []byte(f.Text))
 	if err != nil {
 		return nil, err
 	}
@@ -150,11 +150,11 @@
 	if len(diff) == 0 {
 		return nil, errors.New("it changes nothing")
 	}
-	return diff, c.move(Record{Number: c.record.Number + 1, State: Staged, Before: c.record.InForce(), After: f})
+	return diff, c.move(Record{Number: c.record.Number + 1, State: Staged, Before: c.record.ActiveFile(), After: f})
 }
 
 // Apply puts the staged list in force, on trial from now on.
-func (c *Changes) Apply(now float64) error {
+func (c *Manager) Apply(now float64) error {
 	if c.record.State != Staged {
 		return errNone
 	}
@@ -168,7 +168,7 @@
 }
 
 // Undo ends a change that is staged or on trial; the list before is in force.
-func (c *Changes) Undo(why string) error {
+func (c *Manager) Undo(why string) error {
 	if !c.open() {
 		return errNone
 	}
@@ -176,9 +176,9 @@
 }
 
 // end ends the change.
-func (c *Changes) end(to State, why string) error {
+func (c *Manager) end(to State, why string) error {
 	r := c.record
-	r.State, r.Why = to, why
+	r.State, r.Reason = to, why
 	if err := c.move(r); err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 
 // Tick is told the time, and how many ops were acked and how many ended since the last call. A trial ends here: the list in force
 // may be another afterwards.
-func (c *Changes) Tick(now float64, acked, ended int) error {
+func (c *Manager) Tick(now float64, acked, ended int) error {
 	span := now - c.ticked
 	c.ticked = now
 	if c.record.State != Applied {
@@ -213,7 +213,7 @@
 }
 
 // noise is by how much service may fall before the change is blamed.
-func (c *Changes) noise() float64 {
+func (c *Manager) noise() float64 {
 	p := (c.share.acked + c.trial.acked) / (c.share.ended + c.trial.ended)
 	return math.Max(fallLeast, fallDevs*math.Sqrt(p*(1-p)*(1/c.share.ended+1/c.trial.ended)))
 }
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -46,12 +46,12 @@
 	return all
 }
 
-func show(c *Changes, err error) {
+func show(c *Manager, err error) {
 	r := c.Status()
-	fmt.Println(r.Number, r.State, ids(c.Hosts()), r.Why, err)
+	fmt.Println(r.Number, r.State, ids(c.Hosts()), r.Reason, err)
 }
 
-func begin(s Store) *Changes {
+func begin(s Store) *Manager {
 	c, err := Open(s, old)
 	if err != nil {
 		fmt.Println(err)
@@ -60,7 +60,7 @@
 }
 
 // serve tells of so many seconds of service: a hundred ops a second, so many of them acked.
-func serve(c *Changes, from, seconds, acked int) (at float64, err error) {
+func serve(c *Manager, from, seconds, acked int) (at float64, err error) {
 	for s := 0; s < seconds && err == nil; s++ {
 		at = float64(from+s+1) * 1000
 		err = c.Tick(at, acked, 100)
--- a/internal/change/directory_store.go
+++ b/internal/change/directory_store.go
@@ -15,7 +15,7 @@
 
 // Load implements Store.
 func (d DirectoryStore) Load() ([]byte, error) {
-	raw, err := machine.Disk().Read(d.path())
+	raw, err := machine.LocalFileSystem().ReadFile(d.path())
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -24,7 +24,7 @@
 
 // Save implements Store.
 func (d DirectoryStore) Save(record []byte) error {
-	return machine.Save(machine.Disk(), string(d), d.path(), record)
+	return machine.WriteFileAtomic(machine.LocalFileSystem(), string(d), d.path(), record)
 }
 
 func (d DirectoryStore) path() string { return filepath.Join(string(d), recordName) }
--- a/internal/feed/feednet/changelog.go
+++ b/internal/feed/feednet/changelog.go
@@ -26,7 +26,7 @@
 // changeLog is a publisher's durable log: the changes that it has acknowledged, in their order. It is not safe for
 // concurrent use.
 type changeLog struct {
-	files     machine.Files
+	files     machine.FileSystem
 	directory string
 	path      string
 	header    logHeader
@@ -39,7 +39,7 @@
 
 // openChangeLog opens the log in a directory, or begins one, and returns the changes that it holds. What an incomplete last
 // write has left behind is cut off. Another process that has it open is a *LockedError.
-func openChangeLog(files machine.Files, directory string, header logHeader, logger *slog.Logger) (
+func openChangeLog(files machine.FileSystem, directory string, header logHeader, logger *slog.Logger) (
 	*changeLog, []feed.Change, error) {
 	lock, err := lockDirectory(directory)
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // load reads the log and opens it for appending. What it returns is on the disk, not just in the kernel's memory.
 func (l *changeLog) load(logger *slog.Logger) ([]feed.Change, error) {
-	data, err := l.files.Read(l.path)
+	data, err := l.files.ReadFile(l.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, l.replace(nil)
 	}
@@ -132,7 +132,7 @@
 	if data == nil {
 		data = appendRecord(nil, l.header.encode())
 	}
-	if err := machine.Save(l.files, l.directory, l.path, data); err != nil {
+	if err := machine.WriteFileAtomic(l.files, l.directory, l.path, data); err != nil {
 		return &DiskError{err}
 	}
 	return l.open(len(data))
--- a/internal/feed/feednet/changelog_test.go
+++ b/internal/feed/feednet/changelog_test.go
@@ -31,7 +31,7 @@
 // openTestLog opens a log on the disk.
 func openTestLog(t *testing.T, directory string, said *bytes.Buffer) (*changeLog, []feed.Change) {
 	t.Helper()
-	log, changes, err := openChangeLog(machine.Disk(), directory, testHeader, slog.New(slog.NewTextHandler(said, nil)))
+	log, changes, err := openChangeLog(machine.LocalFileSystem(), directory, testHeader, slog.New(slog.NewTextHandler(said, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 		if err := os.WriteFile(filepath.Join(directory, logName), damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := openChangeLog(machine.Disk(), directory, testHeader, slog.New(slog.DiscardHandler))
+		_, _, err := openChangeLog(machine.LocalFileSystem(), directory, testHeader, slog.New(slog.DiscardHandler))
 		if corrupt := (*CorruptLogError)(nil); !errors.As(err, &corrupt) {
 			t.Fatalf("byte %d flipped: %v", at, err)
 		}
@@ -167,7 +167,7 @@
 		{logVersion, "test", []string{"purges", "settings"}},
 		{logVersion + 1, "test", testHeader.Kinds},
 	} {
-		_, _, err := openChangeLog(machine.Disk(), directory, other, slog.New(slog.DiscardHandler))
+		_, _, err := openChangeLog(machine.LocalFileSystem(), directory, other, slog.New(slog.DiscardHandler))
 		if foreign := (*ForeignLogError)(nil); !errors.As(err, &foreign) {
 			t.Errorf("%v: %v", other, err)
 		}
@@ -177,7 +177,7 @@
 func TestLogIsLocked(t *testing.T) {
 	directory := t.TempDir()
 	log, _ := openTestLog(t, directory, &bytes.Buffer{})
-	_, _, err := openChangeLog(machine.Disk(), directory, testHeader, slog.New(slog.DiscardHandler))
+	_, _, err := openChangeLog(machine.LocalFileSystem(), directory, testHeader, slog.New(slog.DiscardHandler))
 	if locked := (*LockedError)(nil); !errors.As(err, &locked) {
 		t.Fatalf("opened twice: %v", err)
 	}
@@ -222,7 +222,7 @@
 
 // badDisk is a disk of which one call fails.
 type badDisk struct {
-	machine.Files
+	machine.FileSystem
 	fails string // write, sync, rename or none
 	calls int    // that failed
 }
@@ -241,11 +241,11 @@
 	if d.failing("rename") {
 		return errBadDisk
 	}
-	return d.Files.Rename(from, to)
+	return d.FileSystem.Rename(from, to)
 }
 
 func (d *badDisk) Append(path string) (machine.File, error) {
-	file, err := d.Files.Append(path)
+	file, err := d.FileSystem.Append(path)
 	return &badFile{file, d}, err
 }
 
@@ -273,7 +273,7 @@
 func TestLogDiskError(t *testing.T) {
 	for _, call := range []string{"write", "sync", "rename"} {
 		directory := t.TempDir()
-		disk := &badDisk{Files: machine.Disk()}
+		disk := &badDisk{FileSystem: machine.LocalFileSystem()}
 		log, _, err := openChangeLog(disk, directory, testHeader, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/feed/feednet/disk_test.go
+++ b/internal/feed/feednet/disk_test.go
@@ -13,7 +13,7 @@
 // A disk error fails the publish with its type, is not tried again, and nothing of the change is sent.
 func TestDiskErrorFailsPublish(t *testing.T) {
 	for _, call := range []string{"write", "sync"} {
-		disk := &badDisk{Files: machine.Disk()}
+		disk := &badDisk{FileSystem: machine.LocalFileSystem()}
 		options := Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir(), files: disk}
 		publisher := startServer(t, options)
 		f := startFollower(t, "f", publisher.Address())
@@ -48,13 +48,13 @@
 
 // hangingDisk is a disk whose files, once it hangs, are not synced until it is let go.
 type hangingDisk struct {
-	machine.Files
+	machine.FileSystem
 	hang    chan bool // holds one while it hangs
 	release chan bool
 }
 
 func (d *hangingDisk) Append(path string) (machine.File, error) {
-	file, err := d.Files.Append(path)
+	file, err := d.FileSystem.Append(path)
 	return &hangingFile{file, d}, err
 }
 
@@ -74,7 +74,7 @@
 
 // A change is neither acknowledged nor sent before the disk has it. A caller may give up waiting.
 func TestNothingIsSentBeforeTheDiskHasIt(t *testing.T) {
-	disk := &hangingDisk{machine.Disk(), make(chan bool, 1), make(chan bool)}
+	disk := &hangingDisk{machine.LocalFileSystem(), make(chan bool, 1), make(chan bool)}
 	publisher := startServer(t, Options{Feed: testConfig(feed.Publisher, "publisher"), Directory: t.TempDir(), files: disk})
 	f := startFollower(t, "f", publisher.Address())
 	disk.hang <- true
--- a/internal/feed/feednet/server.go
+++ b/internal/feed/feednet/server.go
@@ -28,7 +28,7 @@
 	// Log, if not nil, is told what an operator may want to know.
 	Log *slog.Logger
 
-	files machine.Files // of the log; nil stands for the disk
+	files machine.FileSystem // of the log; nil stands for the disk
 }
 
 // Server runs a node.
@@ -100,7 +100,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if o.files == nil {
-		o.files = machine.Disk()
+		o.files = machine.LocalFileSystem()
 	}
 	if o.Feed.DialTimeout == 0 {
 		o.Feed.DialTimeout = feed.DefaultDialTimeout
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -35,24 +35,24 @@
 	Line    int     // where it stands
 }
 
-// Fault is something wrong in a file.
-type Fault struct {
-	File string
-	Line int // 0 for the whole file
-	Text string
+// FileError is something wrong in a file.
+type FileError struct {
+	File    string
+	Line    int // 0 for the whole file
+	Message string
 }
 
-func (f Fault) Error() string {
+func (f FileError) Error() string {
 	if f.Line == 0 {
-		return f.File + ": " + f.Text
+		return f.File + ": " + f.Message
 	}
-	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Text)
+	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Message)
 }
 
-// Faults are why a file is refused.
-type Faults []Fault
+// FileErrors are why a file is refused.
+type FileErrors []FileError
 
-func (f Faults) Error() string {
+func (f FileErrors) Error() string {
 	lines := make([]string, 0, faultsMost+1)
 	for _, x := range f[:min(len(f), faultsMost)] {
 		lines = append(lines, x.Error())
@@ -76,16 +76,16 @@
 type reader struct {
 	file   string
 	rows   []row
-	faults Faults
+	faults FileErrors
 }
 
 func (r *reader) fault(line int, form string, args ...any) {
-	r.faults = append(r.faults, Fault{r.file, line, fmt.Sprintf(form, args...)})
+	r.faults = append(r.faults, FileError{r.file, line, fmt.Sprintf(form, args...)})
 }
 
-// Read reads a file's text. Its form follows from its name: .csv, .yaml or .yml. The hosts come in the order of their ids; an
+// Parse reads a file's text. Its form follows from its name: .csv, .yaml or .yml. The hosts come in the order of their ids; an
 // error is Faults.
-func Read(name string, text []byte) ([]Host, error) {
+func Parse(name string, text []byte) ([]Host, error) {
 	r := &reader{file: name}
 	text = bytes.TrimPrefix(text, []byte("\ufeff"))
 	text = bytes.ReplaceAll(bytes.ReplaceAll(text, []byte("\r\n"), []byte("\n")), []byte("\r"), []byte("\n"))
@@ -105,7 +105,7 @@
 	}
 	hosts := r.hosts()
 	if len(r.faults) > 0 {
-		slices.SortStableFunc(r.faults, func(x, y Fault) int { return cmp.Compare(x.Line, y.Line) })
+		slices.SortStableFunc(r.faults, func(x, y FileError) int { return cmp.Compare(x.Line, y.Line) })
 		return nil, r.faults
 	}
 	return hosts, nil
@@ -215,12 +215,12 @@
 func Load(path string) ([]Host, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, Faults{{path, 0, errors.Unwrap(err).Error()}}
+		return nil, FileErrors{{path, 0, errors.Unwrap(err).Error()}}
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, sizeMost+1))
 	if err != nil {
-		return nil, Faults{{path, 0, errors.Unwrap(err).Error()}}
+		return nil, FileErrors{{path, 0, errors.Unwrap(err).Error()}}
 	}
-	return Read(path, text)
+	return Parse(path, text)
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -13,7 +13,7 @@
 
 // show reads a text and prints what comes of it.
 func show(name, text string) {
-	hosts, err := Read(name, []byte(text))
+	hosts, err := Parse(name, []byte(text))
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -24,7 +24,7 @@
 }
 
 // Columns come in any order and some may be missing; quotes, a byte-order mark, mixed line endings and notes do no harm.
-func ExampleRead_csv() {
+func ExampleParse_csv() {
 	show("a.csv", "\ufeffKind,address,id,weight\r\n# the first site\nfull, 10.0.0.2:11211 ,b,\"1.5\"\rsmall,[::1]:11211,\"a\",\n")
 	// Output:
 	// a [::1]:11211  small 1 from line 4
@@ -32,7 +32,7 @@
 }
 
 // Anchors and merges are followed; what a host says itself goes before what is merged in.
-func ExampleRead_yaml() {
+func ExampleParse_yaml() {
 	show("a.yaml", `
 x-usual: &usual {zone: nashua, kind: full, weight: 2}
 hosts:
@@ -48,7 +48,7 @@
 }
 
 // Whatever is wrong, the file is refused whole, and each line at fault is named.
-func ExampleRead_refused() {
+func ExampleParse_refused() {
 	for _, text := range []string{"", "id,address\n", "id,zone\na,z\n", "id,address,adress,id\n", "id,address\na,10.0.0.1:1,z\nb\n",
 		"id,address,weight\na,10.0.0.1:1,0\nb,10.0.0.1:1,1e9\na,cache3.nashua.example.org:1,NaN\n,10.0.0.2:0,\n",
 		"id,address\na,10.0.0.1:1\na,10.0.0.1:1\n", "id,address\n\"a,10.0.0.1:1\n", "id,address,zone\na,10.0.0.1:1,a\x00b\n"} {
@@ -98,14 +98,14 @@
 }
 
 // A small file whose aliases stand for millions of hosts is refused in good time.
-func ExampleRead_bomb() {
+func ExampleParse_bomb() {
 	text := "x-0: &a0 {id: a, address: '10.0.0.1:1'}\n"
 	for i := range 9 {
 		text += fmt.Sprintf("x-%d: &a%d {<<: [%s]}\n", i+1, i+1, strings.TrimSuffix(strings.Repeat(fmt.Sprintf("*a%d,", i), 10), ","))
 	}
-	_, err := Read("f.yaml", []byte(text+"hosts: [*a9]\n"))
+	_, err := Parse("f.yaml", []byte(text+"hosts: [*a9]\n"))
 	fmt.Println(len(err.Error()) < 4000, strings.Contains(err.Error(), "f.yaml:"))
-	_, err = Read("f.yaml", []byte(text[:strings.Index(text, "x-7")]+"hosts: ["+strings.Repeat("*a6,", 9)+"*a6]\n"))
+	_, err = Parse("f.yaml", []byte(text[:strings.Index(text, "x-7")]+"hosts: ["+strings.Repeat("*a6,", 9)+"*a6]\n"))
 	fmt.Println(strings.Contains(err.Error(), "aliases followed"))
 	// Output:
 	// true true
@@ -114,8 +114,8 @@
 
 // What a change changes, host by host.
 func ExampleDiff() {
-	old, _ := Read("f.csv", []byte("id,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\n"))
-	new, _ := Read("f.yaml", []byte("hosts:\n- {id: c, address: '10.0.0.3:1', weight: 2}\n- {id: d, address: '10.0.0.4:1'}\n- {id: a, address: '10.0.0.1:1'}\n"))
+	old, _ := Parse("f.csv", []byte("id,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\n"))
+	new, _ := Parse("f.yaml", []byte("hosts:\n- {id: c, address: '10.0.0.3:1', weight: 2}\n- {id: d, address: '10.0.0.4:1'}\n- {id: a, address: '10.0.0.1:1'}\n"))
 	for _, c := range Diff(old, new) {
 		fmt.Println(c)
 	}
@@ -147,7 +147,7 @@
 	}
 	var went [2][]string
 	for i, file := range []struct{ name, text string }{{"f.csv", csv}, {"f.yml", yml}} {
-		hosts, err := Read(file.name, []byte(file.text))
+		hosts, err := Parse(file.name, []byte(file.text))
 		if err != nil {
 			fmt.Println(err)
 			return
@@ -175,13 +175,13 @@
 }
 
 // Whatever the text, it is read or refused without a panic, and what is read is whole.
-func FuzzRead(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	for _, form := range []string{".csv", ".yaml"} {
 		f.Add(form, "id,address,zone\na,10.0.0.1:1,z\n")
 		f.Add(form, "x-a: &a {zone: z}\nhosts:\n- {<<: *a, id: a, address: '10.0.0.1:1'}\n")
 	}
 	f.Fuzz(func(t *testing.T, form, text string) {
-		hosts, err := Read("f"+form, []byte(text))
+		hosts, err := Parse("f"+form, []byte(text))
 		if (err == nil) == (len(hosts) == 0) {
 			t.Fatal(hosts, err)
 		}
@@ -193,7 +193,7 @@
 	})
 }
 
-func BenchmarkRead(b *testing.B) {
+func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		csv, yml := "id,address,zone,kind,weight\n", "hosts:\n"
 		for i := range n {
@@ -203,7 +203,7 @@
 		for name, text := range map[string]string{"f.csv": csv, "f.yml": yml} {
 			b.Run(fmt.Sprint(filepath.Ext(name), n), func(b *testing.B) {
 				for b.Loop() {
-					if _, err := Read(name, []byte(text)); err != nil {
+					if _, err := Parse(name, []byte(text)); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/inventory/many_test.go
+++ b/internal/inventory/many_test.go
@@ -11,11 +11,11 @@
 func TestManyHosts(t *testing.T) {
 	for _, n := range []int{1024, 5000} {
 		asCSV, asYAML := manyRows(n, -1)
-		fromCSV, err := Read("fleet.csv", []byte(asCSV))
+		fromCSV, err := Parse("fleet.csv", []byte(asCSV))
 		if err != nil {
 			t.Fatalf("%.400s", err)
 		}
-		fromYAML, err := Read("fleet.yaml", []byte(asYAML))
+		fromYAML, err := Parse("fleet.yaml", []byte(asYAML))
 		if err != nil {
 			t.Fatalf("%.400s", err)
 		}
@@ -26,7 +26,7 @@
 			t.Fatalf("%d hosts of CSV, %d of YAML", len(fromCSV), len(fromYAML))
 		}
 		changed, _ := manyRows(n, n/2)
-		after, err := Read("fleet.csv", []byte(changed))
+		after, err := Parse("fleet.csv", []byte(changed))
 		if err != nil {
 			t.Fatalf("%.400s", err)
 		}
--- a/internal/inventory/watch.go
+++ b/internal/inventory/watch.go
@@ -33,8 +33,8 @@
 	return stamp{true, f.Size(), f.ModTime(), f}
 }
 
-// Begin reads the file for the first time.
-func Begin(path string) (*Watcher, []Host, error) {
+// NewWatcher reads the file for the first time.
+func NewWatcher(path string) (*Watcher, []Host, error) {
 	w := &Watcher{path: path, seen: stampOf(path)}
 	w.judged = w.seen
 	hosts, err := Load(path)
@@ -42,9 +42,9 @@
 	return w, hosts, err
 }
 
-// Look returns a list that differs from the last one, if there is one now, or why what is there can't be used. It returns neither
+// Poll returns a list that differs from the last one, if there is one now, or why what is there can't be used. It returns neither
 // where nothing is new.
-func (w *Watcher) Look() ([]Host, error) {
+func (w *Watcher) Poll() ([]Host, error) {
 	now := stampOf(w.path)
 	still := now.same(w.seen)
 	w.seen = now
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -16,19 +16,19 @@
 	Close() error
 }
 
-// Files are the ways to files that have to last.
-type Files interface {
-	Read(path string) ([]byte, error)
+// FileSystem are the ways to files that have to last.
+type FileSystem interface {
+	ReadFile(path string) ([]byte, error)
 	Create(path string) (File, error) // empty, in place of one that is there
 	Append(path string) (File, error) // what is written goes behind what one that is there holds
 	Rename(from, to string) error     // in place of one that is there
-	SyncDirectory(path string) error  // returns once the disk has the names in it
+	SyncDir(path string) error        // returns once the disk has the names in it
 }
 
 // disk is the system's own files.
 type disk struct{}
 
-func (disk) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (disk) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
 func (disk) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -40,7 +40,7 @@
 
 func (disk) Rename(from, to string) error { return os.Rename(from, to) }
 
-func (disk) SyncDirectory(path string) error {
+func (disk) SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
 		return err
@@ -48,9 +48,9 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Save puts a text in place of a file, such that a process or machine that ends amid it leaves the old text or the new one:
+// WriteFileAtomic puts a text in place of a file, such that a process or machine that ends amid it leaves the old text or the new one:
 // it is written beside, brought to the disk, and renamed over.
-func Save(f Files, directory, path string, text []byte) error {
+func WriteFileAtomic(f FileSystem, directory, path string, text []byte) error {
 	beside := path + ".new"
 	file, err := f.Create(beside)
 	if err != nil {
@@ -66,8 +66,8 @@
 	if err := f.Rename(beside, path); err != nil {
 		return err
 	}
-	return f.SyncDirectory(directory)
+	return f.SyncDir(directory)
 }
 
-// Wall is the wall clock, for what is compared with times of other machines.
-func Wall() time.Time { return time.Now().Add(off()) }
+// WallTime is the wall clock, for what is compared with times of other machines.
+func WallTime() time.Time { return time.Now().Add(off()) }
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -11,10 +11,10 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, "record")
 	for _, text := range []string{"first", "second"} {
-		if err := Save(Disk(), dir, path, []byte(text)); err != nil {
+		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Disk().Read(path); err != nil || string(got) != text {
+		if got, err := LocalFileSystem().ReadFile(path); err != nil || string(got) != text {
 			t.Fatalf("%q %v", got, err)
 		}
 	}
@@ -25,14 +25,14 @@
 
 func TestAppend(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	if _, err := Disk().Append(path); !os.IsNotExist(err) {
+	if _, err := LocalFileSystem().Append(path); !os.IsNotExist(err) {
 		t.Fatalf("of a file that is not there: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("first"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		f, err := Disk().Append(path)
+		f, err := LocalFileSystem().Append(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got, err := Disk().Read(path); err != nil || string(got) != "first next next" {
+	if got, err := LocalFileSystem().ReadFile(path); err != nil || string(got) != "first next next" {
 		t.Fatalf("%q %v", got, err)
 	}
 }
--- a/internal/machine/plain.go
+++ b/internal/machine/plain.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Disk is the files of this machine.
-func Disk() Files { return disk{} }
+// LocalFileSystem is the files of this machine.
+func LocalFileSystem() FileSystem { return disk{} }
 
 func off() time.Duration { return 0 }
--- a/internal/machine/spoil.go
+++ b/internal/machine/spoil.go
@@ -101,8 +101,8 @@
 	return spoilt.how == how, spoilt.well
 }
 
-// Disk is the files of this machine, spoilt as the socket says.
-func Disk() Files { return spoiltDisk{} }
+// LocalFileSystem is the files of this machine, spoilt as the socket says.
+func LocalFileSystem() FileSystem { return spoiltDisk{} }
 
 type spoiltDisk struct{ disk }
 
--- a/internal/machine/spoil_test.go
+++ b/internal/machine/spoil_test.go
@@ -14,20 +14,20 @@
 	for _, how := range []string{"write", "sync", "rename", "full"} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "record")
-		if err := Save(Disk(), dir, path, []byte("old")); err != nil {
+		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte("old")); err != nil {
 			t.Fatal(err)
 		}
 		if said := spoil([]string{"disk", how}); said != "ok" {
 			t.Fatal(said)
 		}
-		if err := Save(Disk(), dir, path, []byte("new")); err == nil {
+		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte("new")); err == nil {
 			t.Errorf("%s: no error", how)
 		}
-		if got, _ := Disk().Read(path); string(got) != "old" {
+		if got, _ := LocalFileSystem().ReadFile(path); string(got) != "old" {
 			t.Errorf("%s: left %q", how, got)
 		}
 		spoil([]string{"disk", "well"})
-		if err := Save(Disk(), dir, path, []byte("new")); err != nil {
+		if err := WriteFileAtomic(LocalFileSystem(), dir, path, []byte("new")); err != nil {
 			t.Errorf("%s, well again: %v", how, err)
 		}
 	}
@@ -38,7 +38,7 @@
 	spoil([]string{"disk", "torn"})
 	defer spoil([]string{"disk", "well"})
 	path := filepath.Join(t.TempDir(), "record")
-	f, err := Disk().Create(path)
+	f, err := LocalFileSystem().Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	}
 	spoil([]string{"disk", "torn"})
 	defer spoil([]string{"disk", "well"})
-	f, err := Disk().Append(path)
+	f, err := LocalFileSystem().Append(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	spoil([]string{"disk", "hang"})
 	dir := t.TempDir()
 	done := make(chan error)
-	go func() { done <- Save(Disk(), dir, filepath.Join(dir, "record"), []byte("x")) }()
+	go func() { done <- WriteFileAtomic(LocalFileSystem(), dir, filepath.Join(dir, "record"), []byte("x")) }()
 	select {
 	case err := <-done:
 		t.Fatal("it did not hang", err)
@@ -93,7 +93,7 @@
 func TestClock(t *testing.T) {
 	spoil([]string{"clock", "1h"})
 	defer spoil([]string{"clock", "0s"})
-	if d := time.Until(Wall()); d < 59*time.Minute || d > 61*time.Minute {
+	if d := time.Until(WallTime()); d < 59*time.Minute || d > 61*time.Minute {
 		t.Error(d)
 	}
 	if said := spoil([]string{"clock", "soon"}); said == "ok" {
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -64,15 +64,15 @@
 
 // MeasureConnections starts one real balancer before simulated hosts, and counts its descriptors, memory and processor time.
 func MeasureConnections(config ConnectionsConfig) (*ConnectionsResult, error) {
-	fleet := &standin.ScriptedFleet{Changed: make(chan string, 1)}
+	fleet := &standin.ScriptedFleet{WatchAnswers: make(chan string, 1)}
 	defer fleet.Close()
 	large := strings.Repeat("x", TargetAnswerBytes)
 	for host := range config.Hosts {
-		fleet.Host(hostName(host), func(words []string) string { return cannedAnswer(words[1], large) })
+		fleet.AddHost(hostName(host), func(words []string) string { return cannedAnswer(words[1], large) })
 	}
-	form := startForm{Name: "connections", Discovery: fleet.Lists("discovery"), Seed: "1", Settings: settings(1, false),
+	form := startForm{Name: "connections", Discovery: fleet.ServeDiscovery("discovery"), Seed: "1", Settings: settings(1, false),
 		Limits: processLimits{Cores: 1, MemoryMB: hollowMemoryMB, Sockets: connectionSockets},
-		Known:  json.RawMessage(standin.List(1, true, fleet.Members...))}
+		Known:  json.RawMessage(standin.HostListJSON(1, true, fleet.Members...))}
 	p, err := startProcess(config.Program, config.Env, form)
 	if err != nil {
 		return nil, err
--- a/internal/scale/simulation.go
+++ b/internal/scale/simulation.go
@@ -155,7 +155,7 @@
 	arrival := x.now + x.random.ExpFloat64()/rate
 	sample := x.now + sampleEvery
 	for {
-		next := min(arrival, sample, x.attempts.Next(), x.timers.Next())
+		next := min(arrival, sample, x.attempts.NextDue(), x.timers.NextDue())
 		if next > end {
 			x.now = end
 			return
@@ -165,11 +165,11 @@
 		case arrival:
 			x.arrive()
 			arrival = x.now + x.random.ExpFloat64()/rate
-		case x.attempts.Next():
-			a, _ := x.attempts.Due(x.now)
+		case x.attempts.NextDue():
+			a, _ := x.attempts.PopDue(x.now)
 			x.finish(a)
-		case x.timers.Next():
-			i, _ := x.timers.Due(x.now)
+		case x.timers.NextDue():
+			i, _ := x.timers.PopDue(x.now)
 			i.balancer.Advance(x.now)
 			i.balancer.TimerFired()
 		default:
--- a/internal/scale/watch.go
+++ b/internal/scale/watch.go
@@ -149,7 +149,7 @@
 }
 
 func (r *watchRun) startFleet() (err error) {
-	if r.fleet, err = standin.NewFleet(1, standin.Work{Slots: 1}); err != nil {
+	if r.fleet, err = standin.NewFleet(1, standin.Capacity{Slots: 1}); err != nil {
 		return err
 	}
 	r.revision = 2 // the origin's
@@ -163,7 +163,7 @@
 // list tells discovery of a host.
 func (r *watchRun) list(host int, phase string, upSince time.Duration) {
 	m := listed(host, protocol.Phase(phase))
-	r.fleet.Discovery.List(standin.Member{ID: m.ID, Zone: m.Locality, Address: m.Address.String(), Phase: phase, UpSince: upSince})
+	r.fleet.Discovery.SetMember(standin.Member{ID: m.ID, Zone: m.Locality, Address: m.Address.String(), Phase: phase, UpSince: upSince})
 	r.revision++
 }
 
@@ -239,7 +239,7 @@
 	for _, change := range []func(){
 		func() { r.list(0, standin.Terminating, 0) },
 		func() { r.list(0, standin.Terminated, 0) },
-		func() { r.list(r.config.Hosts, standin.InService, r.fleet.Now()) },
+		func() { r.list(r.config.Hosts, standin.InService, r.fleet.Elapsed()) },
 	} {
 		changed := time.Now()
 		change()
@@ -265,7 +265,7 @@
 	time.Sleep(changePause)
 	before, began := r.service.traffic(), time.Now()
 	for host := range zoneHosts {
-		r.list(1+host, standin.InService, r.fleet.Now())
+		r.list(1+host, standin.InService, r.fleet.Elapsed())
 	}
 	var err error
 	if r.row.ZoneMS, err = r.reached(began); err != nil {
--- a/internal/scale/watch_test.go
+++ b/internal/scale/watch_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		news := 0
-		for _, told := range r.fleet.Told() {
+		for _, told := range r.fleet.SentLists() {
 			if len(told.Phases) > 0 {
 				news++
 			}
--- a/internal/standin/attempt.go
+++ b/internal/standin/attempt.go
@@ -12,13 +12,13 @@
 // Attempt is one command or HTTP request as a scripted host or origin received it, once its last byte had come.
 type Attempt struct {
 	Server       string        // name of the host or the origin
-	Op           string        // id of the op
+	OpID         string        // id of the op
 	Verb         string        // "mg" or "ms" at a host, the HTTP method at the origin
 	TimeLeft     time.Duration // for how long the client still waits, as the attempt tells it; 0 where that can't be read
 	TimeLeftText string        // the same as it was written
 	Attributes   string        // the whole list of names and values, with the time left masked as in notes
 	Repeat       bool          // the list has the mark of a client's repeat
-	Came         time.Time     // when the kernel received the last byte
+	ReceivedAt   time.Time     // when the kernel received the last byte
 }
 
 // waited is what notes and attributes leave out, as it depends on the time: for how long a balancer waits.
@@ -31,13 +31,13 @@
 func newAttempt(server, op, verb, attributes string, came time.Time) Attempt {
 	return Attempt{
 		Server:       server,
-		Op:           op,
+		OpID:         op,
 		Verb:         verb,
 		TimeLeft:     waits(attributes),
 		TimeLeftText: attr(attributes, "d"),
 		Attributes:   waited.ReplaceAllString(attributes, "d=.."),
 		Repeat:       attr(attributes, "r") == repeatMark,
-		Came:         came,
+		ReceivedAt:   came,
 	}
 }
 
--- a/internal/standin/attempt_test.go
+++ b/internal/standin/attempt_test.go
@@ -14,9 +14,9 @@
 func TestAttempts(t *testing.T) {
 	s := &ScriptedFleet{}
 	defer s.Close()
-	l := Anywhere()
+	l := ListenLoopback()
 	s.ServeHost("a", l, func([]string) string { return "EN O{id}\r\n" })
-	origin := Anywhere()
+	origin := ListenLoopback()
 	s.ServeOrigin(origin, func(w http.ResponseWriter, r *http.Request) {})
 
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -49,24 +49,24 @@
 
 	attempts := s.Attempts()
 	want := []Attempt{
-		{Server: "a", Op: "1", Verb: "mg", TimeLeft: 400500 * time.Microsecond, TimeLeftText: "400.5", Attributes: "c=read,d=..,k=m"},
-		{Server: "a", Op: "2", Verb: "ms", TimeLeft: 70 * time.Millisecond, TimeLeftText: "70", Attributes: "r=1,d=..,c=put", Repeat: true},
-		{Server: OriginID, Op: "3", Verb: "PUT", TimeLeft: 9 * time.Millisecond, TimeLeftText: "9", Attributes: "c=put,d=.."},
+		{Server: "a", OpID: "1", Verb: "mg", TimeLeft: 400500 * time.Microsecond, TimeLeftText: "400.5", Attributes: "c=read,d=..,k=m"},
+		{Server: "a", OpID: "2", Verb: "ms", TimeLeft: 70 * time.Millisecond, TimeLeftText: "70", Attributes: "r=1,d=..,c=put", Repeat: true},
+		{Server: OriginID, OpID: "3", Verb: "PUT", TimeLeft: 9 * time.Millisecond, TimeLeftText: "9", Attributes: "c=put,d=.."},
 	}
 	if len(attempts) != len(want) {
 		t.Fatalf("%d attempts, want %d: %+v", len(attempts), len(want), attempts)
 	}
 	const clockStep = 10 * time.Millisecond // the kernel tells the time of the last byte by its own tick
-	if came := attempts[1].Came; came.Before(before.Add(-clockStep)) || came.After(last.Add(time.Second)) {
+	if came := attempts[1].ReceivedAt; came.Before(before.Add(-clockStep)) || came.After(last.Add(time.Second)) {
 		t.Errorf("the last byte came %v after it was sent", came.Sub(last))
 	}
 	for i, a := range attempts {
-		a.Came = time.Time{}
+		a.ReceivedAt = time.Time{}
 		if a != want[i] {
 			t.Errorf("got  %+v\nwant %+v", a, want[i])
 		}
 	}
-	if s.Forget(); len(s.Attempts()) != 0 {
+	if s.TakeNotes(); len(s.Attempts()) != 0 {
 		t.Error("attempts that were forgotten")
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -57,8 +57,8 @@
 	ended    bool
 }
 
-// List adds a member, or changes it.
-func (d *Discovery) List(m Member) {
+// SetMember adds a member, or changes it.
+func (d *Discovery) SetMember(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -76,8 +76,8 @@
 	})
 }
 
-// Phase changes the phase of a member, and when it started, unless that is 0.
-func (d *Discovery) Phase(id, phase string, upSince time.Duration) error {
+// SetPhase changes the phase of a member, and when it started, unless that is 0.
+func (d *Discovery) SetPhase(id, phase string, upSince time.Duration) error {
 	d.mu.Lock()
 	past := d.members[id]
 	d.mu.Unlock()
@@ -89,12 +89,12 @@
 	if upSince > 0 {
 		m.UpSince = upSince
 	}
-	d.List(m)
+	d.SetMember(m)
 	return nil
 }
 
-// Late has changes shown so much later, from now on.
-func (d *Discovery) Late(by time.Duration) {
+// SetDelay has changes shown so much later, from now on.
+func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.late = by; by == 0 {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Silent has calls taken and not answered while it is on.
-func (d *Discovery) Silent(on bool) {
+// SetSilent has calls taken and not answered while it is on.
+func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = on
@@ -131,8 +131,8 @@
 	}
 }
 
-// View serves a balancer's view on an address of its own, which it returns. address gives what a member's address is there.
-func (d *Discovery) View(name string, address func(m Member) string) (string, error) {
+// ServeView serves a balancer's view on an address of its own, which it returns. address gives what a member's address is there.
+func (d *Discovery) ServeView(name string, address func(m Member) string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
@@ -150,8 +150,8 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(name, address, w, r) })
 }
 
-// Whole is the list as a view would show it, for a balancer's start file.
-func (d *Discovery) Whole(address func(m Member) string) (json.RawMessage, error) {
+// FullList is the list as a view would show it, for a balancer's start file.
+func (d *Discovery) FullList(address func(m Member) string) (json.RawMessage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return json.Marshal(d.since(0, address))
@@ -204,7 +204,7 @@
 		}
 		up := 0.0
 		if m.UpSince > 0 {
-			up = float64(d.fleet.Began().Add(m.UpSince).UnixMicro()) / 1000
+			up = float64(d.fleet.StartTime().Add(m.UpSince).UnixMicro()) / 1000
 		}
 		l.Members = append(l.Members, protocol.Member{ID: m.ID, Address: at, Locality: m.Zone, Flavor: kind,
 			Phase: protocol.Phase(m.Phase), Size: 1, UpSince: up})
@@ -224,7 +224,7 @@
 }
 
 func (d *Discovery) write(name string, w http.ResponseWriter, l *protocol.HostList) {
-	t := Told{To: name, Revision: l.Revision, Phases: map[string]string{}, Whole: l.Complete}
+	t := SentList{View: name, Revision: l.Revision, Phases: map[string]string{}, Complete: l.Complete}
 	for _, m := range l.Members {
 		t.Phases[m.ID] = string(m.Phase)
 	}
@@ -239,6 +239,6 @@
 	}
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	t.At = d.fleet.Now()
+	t.SentAt = d.fleet.Elapsed()
 	d.fleet.told = append(d.fleet.told, t)
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Mode is how a host or the origin misbehaves. The zero Mode does not.
-type Mode struct {
-	Hang   bool    // takes ops and connections, and answers nothing
-	Slow   float64 // factor of the work that an op takes; 0 and 1 are none
-	Errors float64 // part of the ops that end in an error, once the work is done
-	Resets float64 // part of the answers in place of which the connection is reset, once the work is done
-	Table  int     // connections that are taken at the most; 0: as many as come
+// FaultMode is how a host or the origin misbehaves. The zero Mode does not.
+type FaultMode struct {
+	Hang       bool    // takes ops and connections, and answers nothing
+	SlowFactor float64 // factor of the work that an op takes; 0 and 1 are none
+	ErrorRate  float64 // part of the ops that end in an error, once the work is done
+	ResetRate  float64 // part of the answers in place of which the connection is reset, once the work is done
+	MaxConns   int     // connections that are taken at the most; 0: as many as come
 }
 
 // Host is a cache host of the memcache meta commands.
@@ -25,7 +25,7 @@
 	ID      string
 	Zone    string
 	fleet   *Fleet
-	work    Work
+	work    Capacity
 	warming Warming
 
 	mu       sync.Mutex
@@ -34,7 +34,7 @@
 	address  string
 	conns    map[net.Conn]bool
 	kept     map[string]string
-	mode     Mode
+	mode     FaultMode
 	change   chan struct{} // closed when the mode changes or the host dies
 	slots    chan struct{}
 	waiting  int
@@ -44,7 +44,7 @@
 }
 
 // AddHost adds a host that is warm and listens on an IP address of loopback. Discovery lists it at once.
-func (f *Fleet) AddHost(id, zone, ip string, seed uint64, work Work, warming Warming) (*Host, error) {
+func (f *Fleet) AddHost(id, zone, ip string, seed uint64, work Capacity, warming Warming) (*Host, error) {
 	if err := work.check(); err != nil {
 		return nil, fmt.Errorf("host %s: %w", id, err)
 	}
@@ -56,7 +56,7 @@
 	f.mu.Lock()
 	f.hosts = append(f.hosts, h)
 	f.mu.Unlock()
-	f.Discovery.List(Member{ID: id, Zone: zone, Address: h.Address(), Phase: InService})
+	f.Discovery.SetMember(Member{ID: id, Zone: zone, Address: h.Address(), Phase: InService})
 	return h, nil
 }
 
@@ -67,8 +67,8 @@
 	return h.address
 }
 
-// Fell tells whether the host was pushed over while it was cold.
-func (h *Host) Fell() bool {
+// HasCrashed tells whether the host was pushed over while it was cold.
+func (h *Host) HasCrashed() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fell
@@ -99,13 +99,13 @@
 		return err
 	}
 	h.mu.Lock()
-	h.started, h.fell = max(h.fleet.Now(), 1), false
+	h.started, h.fell = max(h.fleet.Elapsed(), 1), false
 	h.mu.Unlock()
 	return nil
 }
 
-// Die ends the host as the end of its process would: connections are reset, new ones refused.
-func (h *Host) Die() {
+// Kill ends the host as the end of its process would: connections are reset, new ones refused.
+func (h *Host) Kill() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.die()
@@ -118,7 +118,7 @@
 	h.listener.Close()
 	h.listener = nil
 	for c := range h.conns {
-		Reset(c)
+		ResetConn(c)
 	}
 	clear(h.conns)
 	h.changed()
@@ -129,16 +129,16 @@
 	h.change = make(chan struct{})
 }
 
-// Set changes how the host misbehaves, from now on.
-func (h *Host) Set(m Mode) {
+// SetFaultMode changes how the host misbehaves, from now on.
+func (h *Host) SetFaultMode(m FaultMode) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.mode = m
 	h.changed()
 }
 
-// Void drops all that the host keeps.
-func (h *Host) Void() {
+// Clear drops all that the host keeps.
+func (h *Host) Clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clear(h.kept)
@@ -165,7 +165,7 @@
 			return
 		}
 		h.mu.Lock()
-		full := h.mode.Table > 0 && len(h.conns) >= h.mode.Table
+		full := h.mode.MaxConns > 0 && len(h.conns) >= h.mode.MaxConns
 		alive := h.listener == l
 		if alive && !full {
 			h.conns[c] = true
@@ -173,7 +173,7 @@
 		h.mu.Unlock()
 		switch {
 		case !alive:
-			Reset(c)
+			ResetConn(c)
 		case full:
 			io.WriteString(c, "SERVER_ERROR busy\r\n")
 			c.Close()
@@ -200,7 +200,7 @@
 		}
 		answer, cut := h.answer(c, k)
 		if cut {
-			Reset(c)
+			ResetConn(c)
 			return
 		}
 		if _, err := io.WriteString(c, answer); err != nil {
@@ -209,8 +209,8 @@
 	}
 }
 
-// Reset ends a connection with a reset, whatever stands unsent on it.
-func Reset(c net.Conn) {
+// ResetConn ends a connection with a reset, whatever stands unsent on it.
+func ResetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
--- a/internal/standin/host_work.go
+++ b/internal/standin/host_work.go
@@ -9,17 +9,17 @@
 
 // Warming is how a host that has just started comes to its full power, and when it falls.
 type Warming struct {
-	Share    float64       // part of its capacity at which it starts
-	For      time.Duration // until it has all of it, evenly
-	Multiple float64       // sent this many times what it can do
-	Within   time.Duration // in such a span, it falls over and stays down; never where Multiple is 0
+	InitialShare     float64       // part of its capacity at which it starts
+	Duration         time.Duration // until it has all of it, evenly
+	OverloadMultiple float64       // sent this many times what it can do
+	OverloadWindow   time.Duration // in such a span, it falls over and stays down; never where Multiple is 0
 }
 
 // answer does the work of one command. cut: the connection is to be reset instead.
 func (h *Host) answer(c net.Conn, k command) (answer string, cut bool) {
-	now := h.fleet.Now()
-	run := Run{Host: h.ID, From: from(c.RemoteAddr().String()), ID: k.id, Key: k.key, Category: k.attr("c"), Mark: k.attr("k"),
-		Write: k.write, Came: now, Due: now + k.wait()}
+	now := h.fleet.Elapsed()
+	run := ReceivedPush{Host: h.ID, ClientIP: from(c.RemoteAddr().String()), OpID: k.id, Key: k.key, Category: k.attr("c"), DedupMark: k.attr("k"),
+		Write: k.write, ReceivedAt: now, Deadline: now + k.wait()}
 	h.mu.Lock()
 	if h.listener == nil {
 		h.mu.Unlock()
@@ -27,19 +27,19 @@
 	}
 	share := h.warmth(now)
 	if run.Cold = share < 1; run.Cold && h.tip(now, share) {
-		run.Fell, h.fell = true, true
+		run.CausedCrash, h.fell = true, true
 		h.die()
 	}
-	full := h.waiting >= h.work.Queue+h.work.Slots
+	full := h.waiting >= h.work.QueueLimit+h.work.Slots
 	if !full {
 		h.waiting++
 	}
-	takes := time.Duration(float64(h.work.Takes) * (0.5 + h.rng.Float64()) * math.Max(h.mode.Slow, 1) / share)
-	fails, resets := h.rng.Float64() < h.mode.Errors, h.rng.Float64() < h.mode.Resets
+	takes := time.Duration(float64(h.work.ServiceTime) * (0.5 + h.rng.Float64()) * math.Max(h.mode.SlowFactor, 1) / share)
+	fails, resets := h.rng.Float64() < h.mode.ErrorRate, h.rng.Float64() < h.mode.ResetRate
 	value, kept := h.kept[k.key]
 	slots := h.slots
 	h.mu.Unlock()
-	if run.Fell {
+	if run.CausedCrash {
 		h.fleet.note(run)
 		return "", true
 	}
@@ -47,7 +47,7 @@
 		h.fleet.note(run)
 		return "SERVER_ERROR busy\r\n", false
 	}
-	run.Ran = kept && !k.write
+	run.Executed = kept && !k.write
 	h.fleet.note(run)
 	alive := h.wait(slots, takes)
 	h.mu.Lock()
@@ -102,8 +102,8 @@
 
 // warmth is the part of its capacity that the host has.
 func (h *Host) warmth(now time.Duration) float64 {
-	if age := now - h.started; h.started > 0 && age < h.warming.For {
-		return h.warming.Share + (1-h.warming.Share)*float64(age)/float64(h.warming.For)
+	if age := now - h.started; h.started > 0 && age < h.warming.Duration {
+		return h.warming.InitialShare + (1-h.warming.InitialShare)*float64(age)/float64(h.warming.Duration)
 	}
 	return 1
 }
@@ -111,14 +111,14 @@
 // tip counts what a cold host is sent, and tells whether it falls. It can do its capacity's part for a span, with slack for
 // chance.
 func (h *Host) tip(now time.Duration, share float64) bool {
-	if h.warming.Multiple == 0 {
+	if h.warming.OverloadMultiple == 0 {
 		return false
 	}
 	h.sent = append(h.sent, now)
-	for len(h.sent) > 0 && now-h.sent[0] > h.warming.Within {
+	for len(h.sent) > 0 && now-h.sent[0] > h.warming.OverloadWindow {
 		h.sent = h.sent[1:]
 	}
-	can := float64(h.work.Slots) * float64(h.warming.Within) / float64(max(h.work.Takes, time.Microsecond)) * share
-	n := h.warming.Multiple * can
+	can := float64(h.work.Slots) * float64(h.warming.OverloadWindow) / float64(max(h.work.ServiceTime, time.Microsecond)) * share
+	n := h.warming.OverloadMultiple * can
 	return float64(len(h.sent)) > n+3*math.Sqrt(n)+3
 }
--- a/internal/standin/many_test.go
+++ b/internal/standin/many_test.go
@@ -21,7 +21,7 @@
 	f, _ := stage(t)
 	address := func(m Member) string { return m.Address }
 	for i := range n - 1 { // and the host of the stage
-		f.Discovery.List(Member{ID: fmt.Sprint("cache", i), Zone: "z1", Phase: InService,
+		f.Discovery.SetMember(Member{ID: fmt.Sprint("cache", i), Zone: "z1", Phase: InService,
 			Address: fmt.Sprintf("10.0.%d.%d:11211", i/250, i%250)})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -29,7 +29,7 @@
 	revision := uint64(n + 2) // one, the origin's, and a host's each
 	var waiting, heard sync.WaitGroup
 	for i := range n {
-		view, err := f.Discovery.View(fmt.Sprint("b", i), address)
+		view, err := f.Discovery.ServeView(fmt.Sprint("b", i), address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,13 +64,13 @@
 		})
 	}
 	waiting.Wait()
-	if err := f.Discovery.Phase("cache7", Terminating, 0); err != nil {
+	if err := f.Discovery.SetPhase("cache7", Terminating, 0); err != nil {
 		t.Fatal(err)
 	}
 	heard.Wait()
 	views := map[string]int{}
-	for _, told := range f.Told() {
-		views[told.To]++
+	for _, told := range f.SentLists() {
+		views[told.View]++
 	}
 	for i := range n {
 		want := 1
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -19,20 +19,20 @@
 // the op that wrote it; a key that was never written has a value of its own name.
 type Origin struct {
 	fleet   *Fleet
-	work    Work
+	work    Capacity
 	server  *http.Server
 	address string
 
 	mu     sync.Mutex
 	rng    *rand.Rand
 	values map[string]string
-	mode   Mode
+	mode   FaultMode
 	change chan struct{}
 	busy   int // at work, and waiting
 	slots  chan struct{}
 }
 
-func newOrigin(f *Fleet, seed uint64, work Work) (*Origin, error) {
+func newOrigin(f *Fleet, seed uint64, work Capacity) (*Origin, error) {
 	if err := work.check(); err != nil {
 		return nil, fmt.Errorf("origin: %w", err)
 	}
@@ -44,18 +44,18 @@
 		values: map[string]string{}, change: make(chan struct{}), slots: make(chan struct{}, work.Slots)}
 	o.server = &http.Server{Handler: http.HandlerFunc(o.handle)}
 	go o.server.Serve(l)
-	f.Discovery.List(Member{ID: OriginID, Address: o.address, Phase: InService, Origin: true})
+	f.Discovery.SetMember(Member{ID: OriginID, Address: o.address, Phase: InService, Origin: true})
 	return o, nil
 }
 
 // Address is where the origin listens.
 func (o *Origin) Address() string { return o.address }
 
-// Die ends the origin for good.
-func (o *Origin) Die() { o.server.Close() }
+// Stop ends the origin for good.
+func (o *Origin) Stop() { o.server.Close() }
 
-// Set changes how the origin misbehaves, from now on.
-func (o *Origin) Set(m Mode) {
+// SetFaultMode changes how the origin misbehaves, from now on.
+func (o *Origin) SetFaultMode(m FaultMode) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.mode = m
@@ -83,18 +83,18 @@
 		return
 	}
 	list, key := r.Header.Get("X-Attrs"), strings.TrimPrefix(r.URL.Path, "/")
-	now := o.fleet.Now()
-	run := Run{Host: OriginID, From: from(r.RemoteAddr), ID: r.Header.Get("X-Request-ID"), Key: key, Category: attr(list, "c"),
-		Mark: attr(list, "k"), Write: r.Method == http.MethodPut, Came: now, Due: now + waits(list)}
+	now := o.fleet.Elapsed()
+	run := ReceivedPush{Host: OriginID, ClientIP: from(r.RemoteAddr), OpID: r.Header.Get("X-Request-ID"), Key: key, Category: attr(list, "c"),
+		DedupMark: attr(list, "k"), Write: r.Method == http.MethodPut, ReceivedAt: now, Deadline: now + waits(list)}
 	o.mu.Lock()
-	full := o.busy >= o.work.Slots+o.work.Queue
+	full := o.busy >= o.work.Slots+o.work.QueueLimit
 	if !full {
 		o.busy++
 	}
-	takes := time.Duration(float64(o.work.Takes) * (0.5 + o.rng.Float64()) * math.Max(o.mode.Slow, 1))
-	fails, resets := o.rng.Float64() < o.mode.Errors, o.rng.Float64() < o.mode.Resets
+	takes := time.Duration(float64(o.work.ServiceTime) * (0.5 + o.rng.Float64()) * math.Max(o.mode.SlowFactor, 1))
+	fails, resets := o.rng.Float64() < o.mode.ErrorRate, o.rng.Float64() < o.mode.ResetRate
 	o.mu.Unlock()
-	if run.Ran = !full; full {
+	if run.Executed = !full; full {
 		o.fleet.note(run)
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -124,23 +124,23 @@
 }
 
 // carry does what an op asks for. A write has happened once it returns; so it can be told apart from a read's moment.
-func (o *Origin) carry(run Run) (value string) {
+func (o *Origin) carry(run ReceivedPush) (value string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !run.Write {
 		return o.value(run.Key)
 	}
-	o.values[run.Key] = run.ID
+	o.values[run.Key] = run.OpID
 	o.fleet.void(run.Key)
-	return "receipt-" + run.ID
+	return "receipt-" + run.OpID
 }
 
 // keep has the hosts that missed keep a value, unless a write has come between.
-func (o *Origin) keep(run Run, value string) {
+func (o *Origin) keep(run ReceivedPush, value string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.value(run.Key) == value {
-		o.fleet.store(run.ID, run.Key, value)
+		o.fleet.store(run.OpID, run.Key, value)
 	}
 }
 
--- a/internal/standin/scripted_fleet.go
+++ b/internal/standin/scripted_fleet.go
@@ -19,17 +19,17 @@
 // ScriptedFleet is stand-ins that answer by the word of a test, one answer at a time, where a Fleet's go by what they hold. It
 // notes what they hear. Its methods panic where the machine has no room for them.
 type ScriptedFleet struct {
-	Members []string    // of discovery's list, in its form
-	Changed chan string // the answers to watches; "down" for a failure
-	Closers []io.Closer
+	Members      []string    // of discovery's list, in its form
+	WatchAnswers chan string // the answers to watches; "down" for a failure
+	Closers      []io.Closer
 
 	mu       sync.Mutex
 	notes    []string
 	attempts []Attempt
 }
 
-// Note notes something.
-func (s *ScriptedFleet) Note(form string, args ...any) {
+// Notef notes something.
+func (s *ScriptedFleet) Notef(form string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notes = append(s.notes, waited.ReplaceAllString(fmt.Sprintf(form, args...), "d=.."))
@@ -42,8 +42,8 @@
 	return append([]string(nil), s.notes...)
 }
 
-// Forget takes all notes, and has noted nothing from then on; attempts are forgotten too.
-func (s *ScriptedFleet) Forget() []string {
+// TakeNotes takes all notes, and has noted nothing from then on; attempts are forgotten too.
+func (s *ScriptedFleet) TakeNotes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := s.notes
@@ -51,8 +51,8 @@
 	return all
 }
 
-// Rename changes a part of all notes.
-func (s *ScriptedFleet) Rename(old, name string) {
+// ReplaceInNotes changes a part of all notes.
+func (s *ScriptedFleet) ReplaceInNotes(old, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, n := range s.notes {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Sort puts all notes in order of the alphabet.
-func (s *ScriptedFleet) Sort() {
+// SortNotes puts all notes in order of the alphabet.
+func (s *ScriptedFleet) SortNotes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slices.Sort(s.notes)
@@ -84,8 +84,8 @@
 	}()
 }
 
-// Anywhere listens on an address of loopback that nobody has.
-func Anywhere() net.Listener {
+// ListenLoopback listens on an address of loopback that nobody has.
+func ListenLoopback() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -93,11 +93,11 @@
 	return l
 }
 
-// Host adds a cache host that answers each command with what say returns: bytes, "drop" to close the connection behind them,
+// AddHost adds a cache host that answers each command with what say returns: bytes, "drop" to close the connection behind them,
 // or "" to stay silent. {id} stands for the op's id.
-func (s *ScriptedFleet) Host(name string, say func(words []string) string) {
-	l := Anywhere()
-	s.Members = append(s.Members, ListEntry(name, l.Addr().String(), KindHost, InService))
+func (s *ScriptedFleet) AddHost(name string, say func(words []string) string) {
+	l := ListenLoopback()
+	s.Members = append(s.Members, MemberJSON(name, l.Addr().String(), KindHost, InService))
 	s.ServeHost(name, l, say)
 }
 
@@ -110,7 +110,7 @@
 				if !errors.Is(err, io.EOF) || line != "" {
 					return
 				}
-				s.Note("%s: connection closed", name)
+				s.Notef("%s: connection closed", name)
 				return
 			}
 			words := strings.Fields(line)
@@ -118,7 +118,7 @@
 				return
 			}
 			s.attempted(commandAttempt(name, words, lastReceived(c)))
-			s.Note("%s: %s", name, strings.TrimSpace(line))
+			s.Notef("%s: %s", name, strings.TrimSpace(line))
 			answer := strings.ReplaceAll(say(words), "{id}", strings.TrimPrefix(words[3], "O"))
 			last := strings.HasSuffix(answer, "drop")
 			if last {
@@ -152,10 +152,10 @@
 	}
 }
 
-// Origin adds the origin.
-func (s *ScriptedFleet) Origin(handle func(w http.ResponseWriter, r *http.Request)) {
-	l := Anywhere()
-	s.Members = append(s.Members, ListEntry("log", l.Addr().String(), KindOrigin, InService))
+// AddOrigin adds the origin.
+func (s *ScriptedFleet) AddOrigin(handle func(w http.ResponseWriter, r *http.Request)) {
+	l := ListenLoopback()
+	s.Members = append(s.Members, MemberJSON("log", l.Addr().String(), KindOrigin, InService))
 	s.ServeOrigin(l, handle)
 }
 
@@ -173,7 +173,7 @@
 			if len(body) > 100 {
 				body = []byte(fmt.Sprint(len(body), " bytes"))
 			}
-			s.Note("origin: %s %s %q %s %s", r.Method, r.URL.Path, body, r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
+			s.Notef("origin: %s %s %q %s %s", r.Method, r.URL.Path, body, r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"))
 			handle(w, r)
 		}),
 	}
@@ -183,27 +183,27 @@
 // connection is the key of a request's connection in its context.
 type connection struct{}
 
-// ListEntry is a member in discovery's form.
-func ListEntry(id, address, kind, phase string) string {
+// MemberJSON is a member in discovery's form.
+func MemberJSON(id, address, kind, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":%q,"cell":0,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, address, kind, phase)
 }
 
-// List is a list of members in discovery's form.
-func List(revision int, complete bool, members ...string) string {
+// HostListJSON is a list of members in discovery's form.
+func HostListJSON(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// Lists starts a list service under a name, and returns its address.
-func (s *ScriptedFleet) Lists(name string) string {
-	l := Anywhere()
+// ServeDiscovery starts a list service under a name, and returns its address.
+func (s *ScriptedFleet) ServeDiscovery(name string) string {
+	l := ListenLoopback()
 	s.Closers = append(s.Closers, l)
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked := r.URL.Query()
-		s.Note("%s: %s", name, asked.Get("index"))
+		s.Notef("%s: %s", name, asked.Get("index"))
 		w.Header().Set("Content-Type", "application/json")
 		select {
-		case l := <-s.Changed:
+		case l := <-s.WatchAnswers:
 			if l == "down" {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
@@ -212,7 +212,7 @@
 		case <-time.After(time.Millisecond):
 			if asked.Get("wait") != "1" {
 				select {
-				case l := <-s.Changed:
+				case l := <-s.WatchAnswers:
 					io.WriteString(w, l)
 				case <-r.Context().Done():
 				}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -15,29 +15,29 @@
 	"time"
 )
 
-// Run is a push as a host or the origin saw it. Times are since the fleet's start.
-type Run struct {
-	Host     string
-	From     string // address that its connection came from, without the port
-	ID       string // of the op
-	Key      string
-	Category string
-	Mark     string // against repeats, of a deduplicated op
-	Write    bool
-	Came     time.Duration // when its last byte had come
-	Due      time.Duration // when the balancer stops waiting, as it says
-	Ran      bool          // it was carried out; else turned away, or missed
-	Cold     bool          // the host was not warm yet
-	Fell     bool          // it pushed a cold host over
+// ReceivedPush is a push as a host or the origin saw it. Times are since the fleet's start.
+type ReceivedPush struct {
+	Host        string
+	ClientIP    string // address that its connection came from, without the port
+	OpID        string // of the op
+	Key         string
+	Category    string
+	DedupMark   string // against repeats, of a deduplicated op
+	Write       bool
+	ReceivedAt  time.Duration // when its last byte had come
+	Deadline    time.Duration // when the balancer stops waiting, as it says
+	Executed    bool          // it was carried out; else turned away, or missed
+	Cold        bool          // the host was not warm yet
+	CausedCrash bool          // it pushed a cold host over
 }
 
-// Told is a list as discovery wrote it to a balancer.
-type Told struct {
-	To       string // the view's name
-	At       time.Duration
+// SentList is a list as discovery wrote it to a balancer.
+type SentList struct {
+	View     string // the view's name
+	SentAt   time.Duration
 	Revision uint64
 	Phases   map[string]string // by host: what this list says; a host that it does not name keeps its phase unless Whole
-	Whole    bool
+	Complete bool
 }
 
 // Fleet is all of them together.
@@ -49,12 +49,12 @@
 	mu     sync.Mutex
 	hosts  []*Host
 	missed map[string][]*Host // by op, for the origin's answer
-	runs   []Run
-	told   []Told
+	runs   []ReceivedPush
+	told   []SentList
 }
 
 // NewFleet makes a fleet with an origin and discovery. What they do by chance follows from the seed.
-func NewFleet(seed uint64, origin Work) (*Fleet, error) {
+func NewFleet(seed uint64, origin Capacity) (*Fleet, error) {
 	f := &Fleet{began: time.Now(), missed: map[string][]*Host{}}
 	f.Discovery = &Discovery{fleet: f, revision: 1, members: map[string][]Member{}, news: make(chan struct{})}
 	var err error
@@ -62,11 +62,11 @@
 	return f, err
 }
 
-// Now is the time since the fleet's start.
-func (f *Fleet) Now() time.Duration { return time.Since(f.began) }
+// Elapsed is the time since the fleet's start.
+func (f *Fleet) Elapsed() time.Duration { return time.Since(f.began) }
 
-// Began is the fleet's start.
-func (f *Fleet) Began() time.Time { return f.began }
+// StartTime is the fleet's start.
+func (f *Fleet) StartTime() time.Time { return f.began }
 
 // Hosts are the cache hosts, in the order of adding.
 func (f *Fleet) Hosts() []*Host {
@@ -75,15 +75,15 @@
 	return slices.Clone(f.hosts)
 }
 
-// Runs are all pushes so far, in the order in which they came.
-func (f *Fleet) Runs() []Run {
+// ReceivedPushes are all pushes so far, in the order in which they came.
+func (f *Fleet) ReceivedPushes() []ReceivedPush {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.runs)
 }
 
-// Told are all lists so far, in the order in which they were written.
-func (f *Fleet) Told() []Told {
+// SentLists are all lists so far, in the order in which they were written.
+func (f *Fleet) SentLists() []SentList {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.told)
@@ -92,13 +92,13 @@
 // Close ends them all.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts() {
-		h.Die()
+		h.Kill()
 	}
-	f.Origin.Die()
+	f.Origin.Stop()
 	f.Discovery.close()
 }
 
-func (f *Fleet) note(r Run) {
+func (f *Fleet) note(r ReceivedPush) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runs = append(f.runs, r)
@@ -137,16 +137,16 @@
 	return host
 }
 
-// Work is what a server can do.
-type Work struct {
-	Takes time.Duration // of one op; spread evenly over half to one and a half of it
-	Slots int           // ops at work at once
-	Queue int           // that wait for a slot; beyond it ops are turned away
+// Capacity is what a server can do.
+type Capacity struct {
+	ServiceTime time.Duration // of one op; spread evenly over half to one and a half of it
+	Slots       int           // ops at work at once
+	QueueLimit  int           // that wait for a slot; beyond it ops are turned away
 }
 
-func (w Work) check() error {
-	if w.Takes < 0 || w.Slots < 1 || w.Queue < 0 {
-		return fmt.Errorf("work: takes %v, slots %d, queue %d: want none below 0, and a slot", w.Takes, w.Slots, w.Queue)
+func (w Capacity) check() error {
+	if w.ServiceTime < 0 || w.Slots < 1 || w.QueueLimit < 0 {
+		return fmt.Errorf("work: takes %v, slots %d, queue %d: want none below 0, and a slot", w.ServiceTime, w.Slots, w.QueueLimit)
 	}
 	return nil
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -14,13 +14,13 @@
 
 // stage is a fleet with one host that works for a millisecond on each op, one at a time.
 func stage(t *testing.T) (*Fleet, *Host) {
-	f, err := NewFleet(1, Work{Takes: time.Millisecond, Slots: 2, Queue: 2})
+	f, err := NewFleet(1, Capacity{ServiceTime: time.Millisecond, Slots: 2, QueueLimit: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	h, err := f.AddHost("h1", "z1", "127.0.0.1", 1, Work{Takes: time.Millisecond, Slots: 1, Queue: 2},
-		Warming{Share: 0.2, For: time.Hour, Multiple: 2, Within: 20 * time.Millisecond})
+	h, err := f.AddHost("h1", "z1", "127.0.0.1", 1, Capacity{ServiceTime: time.Millisecond, Slots: 1, QueueLimit: 2},
+		Warming{InitialShare: 0.2, Duration: time.Hour, OverloadMultiple: 2, OverloadWindow: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	ran := ""
-	for _, r := range f.Runs() {
-		ran += fmt.Sprintf("%s %s %t;", r.Host, r.ID, r.Ran)
+	for _, r := range f.ReceivedPushes() {
+		ran += fmt.Sprintf("%s %s %t;", r.Host, r.OpID, r.Executed)
 	}
 	if want := "h1 1 false;origin 1 true;h1 1 true;origin w true;h1 1 false;origin 1 true;"; ran != want {
 		t.Errorf("runs: got  %s\nwant %s", ran, want)
@@ -91,19 +91,19 @@
 func TestModes(t *testing.T) {
 	_, h := stage(t)
 	for _, c := range []struct {
-		mode Mode
+		mode FaultMode
 		want string
 	}{
-		{Mode{}, "EN O1"}, {Mode{Errors: 1}, "SERVER_ERROR failed"}, {Mode{Resets: 1}, "reset"}, {Mode{Hang: true}, "silent"},
-		{Mode{Slow: 500}, "silent"}, {Mode{}, "EN O1"},
+		{FaultMode{}, "EN O1"}, {FaultMode{ErrorRate: 1}, "SERVER_ERROR failed"}, {FaultMode{ResetRate: 1}, "reset"}, {FaultMode{Hang: true}, "silent"},
+		{FaultMode{SlowFactor: 500}, "silent"}, {FaultMode{}, "EN O1"},
 	} {
-		h.Set(c.mode)
+		h.SetFaultMode(c.mode)
 		if got := say(h, read); got != c.want {
 			t.Errorf("%+v: %q, want %q", c.mode, got, c.want)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	h.Set(Mode{Table: 1})
+	h.SetFaultMode(FaultMode{MaxConns: 1})
 	c, err := net.Dial("tcp", h.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 // A host that comes back is empty and cold, and falls when it is sent too much before it is warm; it stays down.
 func TestPushedOver(t *testing.T) {
 	f, h := stage(t)
-	h.Die()
+	h.Kill()
 	if got := say(h, read); got != "refused" {
 		t.Fatalf("dead: %q", got)
 	}
@@ -128,7 +128,7 @@
 	for range 60 {
 		go say(h, read)
 	}
-	for end := time.Now().Add(2 * time.Second); !h.Fell(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(2 * time.Second); !h.HasCrashed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it stands")
 		}
@@ -137,8 +137,8 @@
 		t.Errorf("fallen: %q", got)
 	}
 	fell := 0
-	for _, r := range f.Runs() {
-		if r.Fell {
+	for _, r := range f.ReceivedPushes() {
+		if r.CausedCrash {
 			fell++
 		}
 	}
@@ -150,7 +150,7 @@
 // A view shows changes late, and what it showed before until then; a silent service answers once it is not.
 func TestLists(t *testing.T) {
 	f, _ := stage(t)
-	address, err := f.Discovery.View("b1", func(m Member) string { return "127.0.0.9:" + strings.Split(m.Address, ":")[1] })
+	address, err := f.Discovery.ServeView("b1", func(m Member) string { return "127.0.0.9:" + strings.Split(m.Address, ":")[1] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,26 +178,26 @@
 		}
 	}
 	see("", "true h1 in_service origin in_service")
-	f.Discovery.Late(100 * time.Millisecond)
-	f.Discovery.Phase("h1", Terminating, 0)
+	f.Discovery.SetDelay(100 * time.Millisecond)
+	f.Discovery.SetPhase("h1", Terminating, 0)
 	see("", "true h1 in_service origin in_service")
 	see("?index=3&wait=1000", "false h1 terminating")
-	f.Discovery.Late(0)
-	f.Discovery.Phase("h1", Terminated, 0)
+	f.Discovery.SetDelay(0)
+	f.Discovery.SetPhase("h1", Terminated, 0)
 	see("", "true origin in_service")
 	see("?index=4&wait=10", "false h1 terminated")
 	see("?index=5&wait=10", "false")
-	f.Discovery.Silent(true)
-	time.AfterFunc(50*time.Millisecond, func() { f.Discovery.Silent(false) })
+	f.Discovery.SetSilent(true)
+	time.AfterFunc(50*time.Millisecond, func() { f.Discovery.SetSilent(false) })
 	began := time.Now()
 	see("?index=5&wait=1", "false")
 	if took := time.Since(began); took < 50*time.Millisecond {
 		t.Errorf("it was silent for %v", took)
 	}
-	if told := f.Told(); len(told) != 7 || told[2].Phases["h1"] != Terminating || told[2].To != "b1" {
+	if told := f.SentLists(); len(told) != 7 || told[2].Phases["h1"] != Terminating || told[2].View != "b1" {
 		t.Errorf("told: %+v", told)
 	}
-	if err := f.Discovery.Phase("h9", Terminated, 0); err == nil {
+	if err := f.Discovery.SetPhase("h9", Terminated, 0); err == nil {
 		t.Error("a member that is not there")
 	}
 }
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -16,8 +16,8 @@
 
 func (t *Timer) timer() *Timer { return t }
 
-// At is when the item falls due, or last fell due.
-func (t *Timer) At() float64 { return t.at }
+// DueAt is when the item falls due, or last fell due.
+func (t *Timer) DueAt() float64 { return t.at }
 
 // Item is a pointer to what has a Timer in it.
 type Item interface{ timer() *Timer }
@@ -45,23 +45,23 @@
 	}
 }
 
-// Next is when the first falls due, infinity where nothing is set.
-func (q *Queue[T]) Next() float64 {
+// NextDue is when the first falls due, infinity where nothing is set.
+func (q *Queue[T]) NextDue() float64 {
 	if len(q.all) == 0 {
 		return math.Inf(1)
 	}
 	return q.all[0].timer().at
 }
 
-// Due takes out the first, if it is due by now.
-func (q *Queue[T]) Due(now float64) (x T, due bool) { return q.DueOf(now, q.seq) }
+// PopDue takes out the first, if it is due by now.
+func (q *Queue[T]) PopDue(now float64) (x T, due bool) { return q.PopDueUpTo(now, q.seq) }
 
-// Seq tells how many settings there have been.
-func (q *Queue[T]) Seq() uint64 { return q.seq }
+// LastSeq tells how many settings there have been.
+func (q *Queue[T]) LastSeq() uint64 { return q.seq }
 
-// DueOf does as Due, if the first is of the settings up to the last one given.
-func (q *Queue[T]) DueOf(now float64, last uint64) (x T, due bool) {
-	if q.Next() > now || q.all[0].timer().seq > last {
+// PopDueUpTo does as Due, if the first is of the settings up to the last one given.
+func (q *Queue[T]) PopDueUpTo(now float64, last uint64) (x T, due bool) {
+	if q.NextDue() > now || q.all[0].timer().seq > last {
 		return x, false
 	}
 	return heap.Pop(&q.all).(T), true
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -18,16 +18,16 @@
 	q.Set(things["moved"], 5)
 	q.Stop(things["stopped"])
 	q.Stop(things["stopped"])
-	last := q.Seq()
-	for x, due := q.DueOf(8, last); due; x, due = q.DueOf(8, last) {
-		fmt.Println(x.name, x.At())
+	last := q.LastSeq()
+	for x, due := q.PopDueUpTo(8, last); due; x, due = q.PopDueUpTo(8, last) {
+		fmt.Println(x.name, x.DueAt())
 		q.Set(things["stopped"], 6) // set meanwhile: it waits
 	}
-	fmt.Println("next", q.Next())
-	for x, due := q.Due(9); due; x, due = q.Due(9) {
-		fmt.Println(x.name, x.At())
+	fmt.Println("next", q.NextDue())
+	for x, due := q.PopDue(9); due; x, due = q.PopDue(9) {
+		fmt.Println(x.name, x.DueAt())
 	}
-	fmt.Println("next", q.Next())
+	fmt.Println("next", q.NextDue())
 	// Output:
 	// early 1
 	// same 1
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -93,7 +93,7 @@
 	l := &Loop{Log: log, Pool: &Pool{}, epoll: epoll, bell: bell, most: descriptors - ReservedDescriptors}
 	// The kernel takes twice what it is asked for, and each connection has two directions.
 	l.kernel = max(kernelLeast, int(kernelShare*float64(memory))/descriptors/4)
-	l.began, l.wall = time.Now(), float64(machine.Wall().UnixMicro())/1000
+	l.began, l.wall = time.Now(), float64(machine.WallTime().UnixMicro())/1000
 	l.tick()
 	l.before = l.now
 	l.resend.Fire = func() {} // the round that it makes sends
@@ -214,7 +214,7 @@
 	if l.again || len(l.ready) > 0 {
 		return 0
 	}
-	next := l.timers.Next()
+	next := l.timers.NextDue()
 	if math.IsInf(next, 1) {
 		return -1
 	}
--- a/internal/transport/timer.go
+++ b/internal/transport/timer.go
@@ -16,8 +16,8 @@
 
 // fire calls back the timers that are due. One set meanwhile waits for the next round.
 func (l *Loop) fire() {
-	last := l.timers.Seq()
-	for t, due := l.timers.DueOf(l.now, last); due; t, due = l.timers.DueOf(l.now, last) {
+	last := l.timers.LastSeq()
+	for t, due := l.timers.PopDueUpTo(l.now, last); due; t, due = l.timers.PopDueUpTo(l.now, last) {
 		t.Fire()
 	}
 }
--- a/internal/trial/check.go
+++ b/internal/trial/check.go
@@ -15,8 +15,8 @@
 // Record is all that was seen from outside the balancers: what checkers go by.
 type Record struct {
 	Calls     []Call
-	Runs      []standin.Run
-	Told      []standin.Told
+	Runs      []standin.ReceivedPush
+	Told      []standin.SentList
 	Bans      []Ban
 	Balancers []BalancerRecord // by number
 	Slack     time.Duration    // by which links and the cluster may have made anything later
@@ -85,7 +85,7 @@
 func (r *Record) answers() (all []Break) {
 	pushed := map[string]bool{}
 	for _, x := range r.Runs {
-		pushed[x.ID] = true
+		pushed[x.OpID] = true
 	}
 	for _, c := range r.Calls {
 		// Whoever has pushed an op had read its command: it did not cross.
@@ -121,14 +121,14 @@
 func (r *Record) moot() (all []Break) {
 	ops := r.byID()
 	for _, x := range r.Runs {
-		c, known := ops[x.ID]
+		c, known := ops[x.OpID]
 		if !known {
 			continue
 		}
 		end := c.Sent + ttl + r.Slack
-		if x.Came > end && !(c.Balancer >= 0 && r.Balancers[c.Balancer].away(c.Sent, x.Came)) {
-			all = append(all, Break{At: x.Came, Text: fmt.Sprintf("op %s pushed to %s %v after its TTL", x.ID, x.Host,
-				(x.Came - c.Sent - ttl).Round(time.Millisecond))})
+		if x.ReceivedAt > end && !(c.Balancer >= 0 && r.Balancers[c.Balancer].away(c.Sent, x.ReceivedAt)) {
+			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("op %s pushed to %s %v after its TTL", x.OpID, x.Host,
+				(x.ReceivedAt - c.Sent - ttl).Round(time.Millisecond))})
 		}
 	}
 	return all
@@ -138,9 +138,9 @@
 func (r *Record) deadlines() (all []Break) {
 	ops := r.byID()
 	for _, x := range r.Runs {
-		c, known := ops[x.ID]
-		if over := x.Due - c.Sent - ttl; known && over > deadlineSlack+r.Slack {
-			all = append(all, Break{At: x.Came, Text: fmt.Sprintf("op %s: %s was told to answer until %v after its TTL", x.ID, x.Host,
+		c, known := ops[x.OpID]
+		if over := x.Deadline - c.Sent - ttl; known && over > deadlineSlack+r.Slack {
+			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("op %s: %s was told to answer until %v after its TTL", x.OpID, x.Host,
 				over.Round(time.Millisecond))})
 		}
 	}
@@ -148,15 +148,15 @@
 }
 
 func (r *Record) effects() (all []Break) {
-	ops, runs := r.byID(), map[string][]standin.Run{}
+	ops, runs := r.byID(), map[string][]standin.ReceivedPush{}
 	for _, x := range r.Runs {
-		if x.Ran && categories[x.Category] == "fragile" {
-			runs[x.ID] = append(runs[x.ID], x)
+		if x.Executed && categories[x.Category] == "fragile" {
+			runs[x.OpID] = append(runs[x.OpID], x)
 		}
 	}
 	for id, ran := range runs {
 		if len(ran) > 1 {
-			all = append(all, Break{At: ran[1].Came, Text: fmt.Sprintf("at-most-once op %s ran %d times", id, len(ran))})
+			all = append(all, Break{At: ran[1].ReceivedAt, Text: fmt.Sprintf("at-most-once op %s ran %d times", id, len(ran))})
 		}
 		if c, known := ops[id]; known && c.Answer == Nacked {
 			all = append(all, Break{At: c.Done, Text: fmt.Sprintf("at-most-once op %s was nacked and ran at %s", id, ran[0].Host)})
@@ -166,17 +166,17 @@
 }
 
 func (r *Record) window() (all []Break) {
-	first := map[string]standin.Run{}
+	first := map[string]standin.ReceivedPush{}
 	for _, x := range r.Runs {
-		if categories[x.Category] != "dedup" || !x.Ran {
+		if categories[x.Category] != "dedup" || !x.Executed {
 			continue
 		}
-		f, again := first[x.ID]
+		f, again := first[x.OpID]
 		if !again {
-			first[x.ID] = x
-		} else if x.Came-f.Came > dropsFor+r.Slack {
-			all = append(all, Break{At: x.Came, Text: fmt.Sprintf("deduplicated op %s ran again %v after it first did", x.ID,
-				(x.Came - f.Came).Round(time.Millisecond))})
+			first[x.OpID] = x
+		} else if x.ReceivedAt-f.ReceivedAt > dropsFor+r.Slack {
+			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("deduplicated op %s ran again %v after it first did", x.OpID,
+				(x.ReceivedAt - f.ReceivedAt).Round(time.Millisecond))})
 		}
 	}
 	return all
@@ -210,14 +210,14 @@
 			}
 		}
 		for _, t := range r.Told {
-			if t.To != w.Name {
+			if t.View != w.Name {
 				continue
 			}
 			for host, phase := range t.Phases {
 				if phase == standin.InService {
-					end(host, t.At)
+					end(host, t.SentAt)
 				} else {
-					open(host, "listed as "+phase, t.At)
+					open(host, "listed as "+phase, t.SentAt)
 				}
 			}
 		}
@@ -235,17 +235,17 @@
 		}
 	}
 	for _, x := range r.Runs {
-		i, known := bySource[x.From]
+		i, known := bySource[x.ClientIP]
 		if !known {
 			continue
 		}
 		for _, s := range shuts[i][x.Host] {
-			late := x.Came - s.From - drainGrace - r.Slack
-			if late <= 0 || s.To != 0 && x.Came > s.To || r.Balancers[i].away(s.From, x.Came) {
+			late := x.ReceivedAt - s.From - drainGrace - r.Slack
+			if late <= 0 || s.To != 0 && x.ReceivedAt > s.To || r.Balancers[i].away(s.From, x.ReceivedAt) {
 				continue
 			}
-			all = append(all, Break{At: x.Came, Text: fmt.Sprintf("%s pushed op %s to %s, %s %v before", r.Balancers[i].Name, x.ID,
-				x.Host, s.why, (x.Came - s.From).Round(time.Millisecond))})
+			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("%s pushed op %s to %s, %s %v before", r.Balancers[i].Name, x.OpID,
+				x.Host, s.why, (x.ReceivedAt - s.From).Round(time.Millisecond))})
 		}
 	}
 	return all
@@ -253,8 +253,8 @@
 
 func (r *Record) cold() (all []Break) {
 	for _, x := range r.Runs {
-		if x.Fell {
-			all = append(all, Break{At: x.Came, Text: fmt.Sprintf("%s was pushed over while it was cold", x.Host)})
+		if x.CausedCrash {
+			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("%s was pushed over while it was cold", x.Host)})
 		}
 	}
 	return all
@@ -293,8 +293,8 @@
 func (r *Record) values() (all []Break) {
 	byKey, ran := map[string][]porcupine.Operation{}, map[string]bool{}
 	for _, x := range r.Runs {
-		if x.Ran && x.Write {
-			ran[x.ID] = true
+		if x.Executed && x.Write {
+			ran[x.OpID] = true
 		}
 	}
 	last := time.Duration(0)
--- a/internal/trial/check_test.go
+++ b/internal/trial/check_test.go
@@ -28,14 +28,14 @@
 			{ID: "lost", Key: "k", Category: "read", Balancer: 1, Sent: 4900 * ms, Done: 5000 * ms, Answer: Cut},
 			{ID: "none", Key: "k", Category: "read", Balancer: -1, Sent: 0, Done: 5100 * ms, Answer: Untaken},
 		},
-		Runs: []standin.Run{
-			{Host: "h1", From: "s1", ID: "r1", Category: "read", Came: 101 * ms, Ran: true},
-			{Host: "origin", From: "s1", ID: "w1", Key: "k", Category: "put", Write: true, Came: 201 * ms, Ran: true},
-			{Host: "origin", From: "s1", ID: "o1", Key: "k", Category: "once", Write: true, Came: 401 * ms},
-			{Host: "origin", From: "s1", ID: "o2", Key: "k", Category: "once", Write: true, Came: 501 * ms, Ran: true},
-			{Host: "h1", From: "s1", ID: "r2", Category: "read", Came: 600 * ms, Ran: true, Cold: true},
+		Runs: []standin.ReceivedPush{
+			{Host: "h1", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 101 * ms, Executed: true},
+			{Host: "origin", ClientIP: "s1", OpID: "w1", Key: "k", Category: "put", Write: true, ReceivedAt: 201 * ms, Executed: true},
+			{Host: "origin", ClientIP: "s1", OpID: "o1", Key: "k", Category: "once", Write: true, ReceivedAt: 401 * ms},
+			{Host: "origin", ClientIP: "s1", OpID: "o2", Key: "k", Category: "once", Write: true, ReceivedAt: 501 * ms, Executed: true},
+			{Host: "h1", ClientIP: "s1", OpID: "r2", Category: "read", ReceivedAt: 600 * ms, Executed: true, Cold: true},
 		},
-		Told: []standin.Told{{To: "b1", At: 2000 * ms, Phases: map[string]string{"h1": standin.Terminating}}},
+		Told: []standin.SentList{{View: "b1", SentAt: 2000 * ms, Phases: map[string]string{"h1": standin.Terminating}}},
 		Bans: []Ban{{"b2", "h2", Span{From: 2000 * ms}}},
 	}
 }
@@ -45,7 +45,7 @@
 	if all := kept().Check(); len(all) > 0 {
 		t.Fatalf("the history that keeps all: %v", all)
 	}
-	run := func(r *Record, x standin.Run) { r.Runs = append(r.Runs, x) }
+	run := func(r *Record, x standin.ReceivedPush) { r.Runs = append(r.Runs, x) }
 	for _, c := range []struct {
 		rule, name string
 		spoil      func(r *Record)
@@ -61,23 +61,27 @@
 			r.Calls[4] = Call{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 505 * ms, Answer: Cut, Crossed: true}
 		}},
 		{"moot", "pushed after the TTL", func(r *Record) {
-			run(r, standin.Run{Host: "h2", From: "s1", ID: "r1", Category: "read", Came: 800 * ms})
+			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 800 * ms})
 		}},
 		{"deadlines", "told the client's own time long after it was sent", func(r *Record) {
-			run(r, standin.Run{Host: "origin", From: "s1", ID: "r1", Category: "read", Came: 400 * ms, Due: 400*ms + ttl})
+			run(r, standin.ReceivedPush{Host: "origin", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 400 * ms, Deadline: 400*ms + ttl})
 		}},
 		{"effects", "ran twice", func(r *Record) {
-			run(r, standin.Run{Host: "h2", From: "s1", ID: "o2", Category: "once", Came: 520 * ms, Ran: true})
+			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "o2", Category: "once", ReceivedAt: 520 * ms, Executed: true})
 		}},
 		{"effects", "ran and was nacked", func(r *Record) {
-			run(r, standin.Run{Host: "h2", From: "s1", ID: "o1", Category: "once", Came: 420 * ms, Ran: true})
+			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "o1", Category: "once", ReceivedAt: 420 * ms, Executed: true})
 		}},
 		{"window", "ran again too late", func(r *Record) {
-			run(r, standin.Run{Host: "origin", From: "s1", ID: "w1", Category: "put", Came: 700 * ms, Ran: true})
+			run(r, standin.ReceivedPush{Host: "origin", ClientIP: "s1", OpID: "w1", Category: "put", ReceivedAt: 700 * ms, Executed: true})
 		}},
-		{"drains", "pushed to a draining host", func(r *Record) { run(r, standin.Run{Host: "h1", From: "s1", ID: "x", Came: 3200 * ms}) }},
-		{"drains", "pushed to a banned host", func(r *Record) { run(r, standin.Run{Host: "h2", From: "s2", ID: "x", Came: 3200 * ms}) }},
-		{"cold", "pushed over", func(r *Record) { r.Runs[4].Fell = true }},
+		{"drains", "pushed to a draining host", func(r *Record) {
+			run(r, standin.ReceivedPush{Host: "h1", ClientIP: "s1", OpID: "x", ReceivedAt: 3200 * ms})
+		}},
+		{"drains", "pushed to a banned host", func(r *Record) {
+			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 3200 * ms})
+		}},
+		{"cold", "pushed over", func(r *Record) { r.Runs[4].CausedCrash = true }},
 		{"values", "read what was written before", func(r *Record) { r.Calls[2].Text = "k unwritten" }},
 		{"values", "read what nobody wrote", func(r *Record) { r.Calls[2].Text = "k w9" }},
 		{"values", "read another key's value", func(r *Record) { r.Calls[2].Text = "j w1" }},
@@ -96,29 +100,29 @@
 func TestNotHeldAgainst(t *testing.T) {
 	for name, change := range map[string]func(r *Record){
 		"told while it stood still": func(r *Record) {
-			r.Told = append(r.Told, standin.Told{To: "b3", At: 5100 * ms, Phases: map[string]string{"h3": standin.Terminated}})
-			r.Runs = append(r.Runs, standin.Run{Host: "h3", From: "s3", ID: "x", Came: 6500 * ms})
+			r.Told = append(r.Told, standin.SentList{View: "b3", SentAt: 5100 * ms, Phases: map[string]string{"h3": standin.Terminated}})
+			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "h3", ClientIP: "s3", OpID: "x", ReceivedAt: 6500 * ms})
 		},
 		"a ban that its process did not outlive": func(r *Record) {
-			r.Runs = append(r.Runs, standin.Run{Host: "h2", From: "s2", ID: "x", Came: 9000 * ms})
+			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 9000 * ms})
 		},
 		"back in service": func(r *Record) {
-			r.Told = append(r.Told, standin.Told{To: "b1", At: 2500 * ms, Phases: map[string]string{"h1": standin.InService}})
-			r.Runs = append(r.Runs, standin.Run{Host: "h1", From: "s1", ID: "x", Came: 3600 * ms})
+			r.Told = append(r.Told, standin.SentList{View: "b1", SentAt: 2500 * ms, Phases: map[string]string{"h1": standin.InService}})
+			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "h1", ClientIP: "s1", OpID: "x", ReceivedAt: 3600 * ms})
 		},
 		"a write that was pushed by a balancer that was then killed, and sent once more": func(r *Record) {
 			r.Calls = append(r.Calls, Call{ID: "w2", Key: "k", Category: "put", Write: true, Balancer: 1, Sent: 4990 * ms,
 				Done: 4995 * ms, Answer: Cut, Crossed: true},
 				Call{ID: "r3", Key: "k", Category: "read", Sent: 6600 * ms, Done: 6610 * ms, Answer: Acked, Text: "k w2"})
-			r.Runs = append(r.Runs, standin.Run{Host: "origin", From: "s2", ID: "w2", Key: "k", Category: "put", Write: true,
-				Came: 4991 * ms, Ran: true})
+			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "origin", ClientIP: "s2", OpID: "w2", Key: "k", Category: "put", Write: true,
+				ReceivedAt: 4991 * ms, Executed: true})
 		},
 		"a connection that was closed as a command crossed": func(r *Record) {
 			r.Calls = append(r.Calls, Call{ID: "r4", Key: "k", Category: "read", Sent: 320 * ms, Done: 325 * ms, Answer: Cut, Crossed: true})
 		},
 		"an op of a balancer that stood still": func(r *Record) {
 			r.Calls[0] = Call{ID: "r1", Key: "k", Category: "read", Balancer: 2, Sent: 4900 * ms, Done: 6100 * ms, Answer: Silent}
-			r.Runs[0].From, r.Runs[0].Came = "s3", 6050*ms
+			r.Runs[0].ClientIP, r.Runs[0].ReceivedAt = "s3", 6050*ms
 		},
 	} {
 		r := kept()
--- a/internal/trial/cluster.go
+++ b/internal/trial/cluster.go
@@ -86,8 +86,8 @@
 		return nil, err
 	}
 	time.Sleep(settle)
-	began := c.fleet.Now()
-	l := newLoad(p, c.listens, c.fleet.Now)
+	began := c.fleet.Elapsed()
+	l := newLoad(p, c.listens, c.fleet.Elapsed)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var both sync.WaitGroup
--- a/internal/trial/inject.go
+++ b/internal/trial/inject.go
@@ -50,7 +50,7 @@
 	lanes := map[string]chan struct{}{} // a fault of a process waits for the one before it
 	for _, m := range c.plan.moments() {
 		select {
-		case <-time.After(began + m.at - c.fleet.Now()):
+		case <-time.After(began + m.at - c.fleet.Elapsed()):
 		case <-ctx.Done():
 			return
 		}
@@ -103,14 +103,14 @@
 		return each(of, func(name string) error { return c.injectServerFault(x, name, end) })
 	case lists:
 		if x.What == "silent" {
-			c.fleet.Discovery.Silent(!end)
+			c.fleet.Discovery.SetSilent(!end)
 			return nil
 		}
 		late := time.Duration(0)
 		if ms, err := x.By.number(); !end && err == nil {
 			late = time.Duration(ms * float64(time.Millisecond))
 		}
-		c.fleet.Discovery.Late(late)
+		c.fleet.Discovery.SetDelay(late)
 	case links:
 		return each(of, func(b string) error {
 			return each(to, func(part string) error { c.injectLinkFault(x, c.links[[2]string{b, part}], end); return nil })
@@ -161,23 +161,23 @@
 }
 
 func (c *Cluster) injectServerFault(x Fault, name string, end bool) error {
-	var mode standin.Mode
+	var mode standin.FaultMode
 	if by, _ := x.By.number(); !end { // a plan's figures are checked before it is played
 		switch x.What {
 		case "hang":
 			mode.Hang = true
 		case "slow":
-			mode.Slow = by
+			mode.SlowFactor = by
 		case "errors":
-			mode.Errors = by
+			mode.ErrorRate = by
 		case "resets":
-			mode.Resets = by
+			mode.ResetRate = by
 		case "table":
-			mode.Table = int(by)
+			mode.MaxConns = int(by)
 		}
 	}
 	if name == standin.OriginID {
-		c.fleet.Origin.Set(mode)
+		c.fleet.Origin.SetFaultMode(mode)
 		return nil
 	}
 	h := c.fleet.Hosts()[place(name)]
@@ -185,27 +185,27 @@
 	switch x.What {
 	case "die":
 		if !end {
-			h.Die()
-			return lists.Phase(name, standin.Terminated, 0)
+			h.Kill()
+			return lists.SetPhase(name, standin.Terminated, 0)
 		}
-		return errors.Join(h.Start(), lists.Phase(name, standin.InService, c.fleet.Now()))
+		return errors.Join(h.Start(), lists.SetPhase(name, standin.InService, c.fleet.Elapsed()))
 	case "void":
-		h.Void()
+		h.Clear()
 	case "drain":
 		if end {
-			return lists.Phase(name, standin.InService, 0)
+			return lists.SetPhase(name, standin.InService, 0)
 		}
-		return lists.Phase(name, standin.Terminating, 0)
+		return lists.SetPhase(name, standin.Terminating, 0)
 	case "remove":
 		if end {
-			h.Die()
-			return errors.Join(h.Start(), lists.Phase(name, standin.InService, c.fleet.Now()))
+			h.Kill()
+			return errors.Join(h.Start(), lists.SetPhase(name, standin.InService, c.fleet.Elapsed()))
 		}
-		return errors.Join(lists.Phase(name, standin.Terminating, 0), lists.Phase(name, standin.Terminated, 0))
+		return errors.Join(lists.SetPhase(name, standin.Terminating, 0), lists.SetPhase(name, standin.Terminated, 0))
 	case "ban":
 		return each(c.plan.Fleet.balancers(), func(b string) error { return c.ban(b, name, end) })
 	default:
-		h.Set(mode)
+		h.SetFaultMode(mode)
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 	if !end {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.bans = append(c.bans, Ban{balancer, host, Span{From: c.fleet.Now()}})
+		c.bans = append(c.bans, Ban{balancer, host, Span{From: c.fleet.Elapsed()}})
 	}
 	return nil
 }
@@ -240,7 +240,7 @@
 	defer c.mu.Unlock()
 	for i := range c.bans {
 		if b := &c.bans[i]; b.Balancer == balancer && b.Host == host && b.To == 0 {
-			b.To = c.fleet.Now()
+			b.To = c.fleet.Elapsed()
 		}
 	}
 }
--- a/internal/trial/link.go
+++ b/internal/trial/link.go
@@ -134,8 +134,8 @@
 }
 
 func (j *proxiedConn) reset() {
-	standin.Reset(j.near)
-	standin.Reset(j.far)
+	standin.ResetConn(j.near)
+	standin.ResetConn(j.far)
 }
 
 func (l *Link) accept() {
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -98,7 +98,7 @@
 
 // result looks at what came of the plan.
 func (c *Cluster) result(began time.Duration, l *load) *Result {
-	rec := &Record{Calls: l.calls, Runs: c.fleet.Runs(), Told: c.fleet.Told(), Bans: c.bans, Slack: c.plan.slack()}
+	rec := &Record{Calls: l.calls, Runs: c.fleet.ReceivedPushes(), Told: c.fleet.SentLists(), Bans: c.bans, Slack: c.plan.slack()}
 	r := &Result{Plan: c.plan.String(), Name: c.plan.Name, Injected: c.injected, Pushes: map[string]int{}, Record: rec,
 		Logs: map[string][]Line{}}
 	for i, p := range c.processes {
--- a/internal/trial/start.go
+++ b/internal/trial/start.go
@@ -20,12 +20,12 @@
 	}
 	c.dir, c.shell, c.links = dir, newShell(), map[[2]string]*Link{}
 	c.at = ownAddresses()
-	origin := standin.Work{Takes: f.Origin.d(), Slots: f.Hosts, Queue: 20 * f.Hosts}
+	origin := standin.Capacity{ServiceTime: f.Origin.d(), Slots: f.Hosts, QueueLimit: 20 * f.Hosts}
 	if c.fleet, err = standin.NewFleet(c.plan.Seed, origin); err != nil {
 		return err
 	}
-	work := standin.Work{Takes: f.Work.d(), Slots: f.Slots, Queue: 8 * f.Slots}
-	warming := standin.Warming{Share: coldShare, For: coldFor, Multiple: tipTimes, Within: tipFor}
+	work := standin.Capacity{ServiceTime: f.Work.d(), Slots: f.Slots, QueueLimit: 8 * f.Slots}
+	warming := standin.Warming{InitialShare: coldShare, Duration: coldFor, OverloadMultiple: tipTimes, OverloadWindow: tipFor}
 	for i, id := range f.hosts() {
 		if _, err := c.fleet.AddHost(id, f.zone(i+1), c.at.hosts(), c.plan.Seed+uint64(i), work, warming); err != nil {
 			return err
@@ -58,7 +58,7 @@
 		return err
 	}
 	address := func(m standin.Member) string { return c.links[[2]string{name, m.ID}].Address() }
-	view, err := c.fleet.Discovery.View(name, address)
+	view, err := c.fleet.Discovery.ServeView(name, address)
 	if err != nil {
 		return err
 	}
@@ -70,14 +70,14 @@
 	if err != nil {
 		return err
 	}
-	p := &Process{Name: name, Dir: filepath.Join(c.dir, name), now: c.fleet.Now, shell: c.shell, env: c.Env,
+	p := &Process{Name: name, Dir: filepath.Join(c.dir, name), now: c.fleet.Elapsed, shell: c.shell, env: c.Env,
 		probe: func() bool { return c.serves(i) }}
 	p.config = filepath.Join(p.Dir, "start.json")
 	c.processes, c.listens, c.admins = append(c.processes, p), append(c.listens, listen), append(c.admins, "")
 	if err := os.Mkdir(p.Dir, 0o700); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	known, err := c.fleet.Discovery.Whole(address)
+	known, err := c.fleet.Discovery.FullList(address)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 // rewrite writes a start file anew for a balancer that is restarted: the list as it is now, and a new operators' address.
 func (c *Cluster) rewrite(i int) error {
 	name := c.processes[i].Name
-	known, err := c.fleet.Discovery.Whole(func(m standin.Member) string { return c.links[[2]string{name, m.ID}].Address() })
+	known, err := c.fleet.Discovery.FullList(func(m standin.Member) string { return c.links[[2]string{name, m.ID}].Address() })
 	if err != nil {
 		return err
 	}
