--- a/cmd/larchthread/control_config.go
+++ b/cmd/larchthread/control_config.go
@@ -289,7 +289,7 @@
 	return feed.Config{
 		Cluster: s.Cluster, ID: s.ID, Role: s.role(), Epoch: s.Epoch, Parents: s.Parents,
 		Kinds: []feed.KindConfig{
-			settingsKind: {Name: "settings", Latest: true, Window: cmp.Or(s.Settings.Window, defaultSettingsWindow),
+			settingsKind: {Name: "settings", Stateful: true, Window: cmp.Or(s.Settings.Window, defaultSettingsWindow),
 				MaxValue: cmp.Or(s.Settings.MaxValueBytes, defaultMaxValueBytes)},
 			purgesKind: {Name: "purges", Window: cmp.Or(s.Purges.Window, defaultPurgesWindow)},
 		},
--- a/internal/feed/age_test.go
+++ b/internal/feed/age_test.go
@@ -35,7 +35,7 @@
 func TestAgeIsUnknownUntilASnapshotIsWhole(t *testing.T) {
 	node := followingNode(t, subscriberConfig())
 	echo := stampAt(node.now)
-	part := Snapshot{At: Position{5, 3}, Echo: echo, Entries: []Change{testChange(0, 5, 3)}, Last: true, WholeAt: Position{5, 4}}
+	part := Snapshot{At: Position{5, 3}, Echo: echo, Entries: []Change{testChange(0, 5, 3)}, Last: true, CompleteAt: Position{5, 4}}
 	node.Receive(parentPeer, part)
 	if age := node.Status().Age; age != AgeUnknown {
 		t.Errorf("age %s before what superseded the changes left out has come", age)
--- a/internal/feed/catchup.go
+++ b/internal/feed/catchup.go
@@ -17,7 +17,7 @@
 func (l *kindLog) classify(at cursor, role Role, coarseAfter int) cursor {
 	inWindow := l.contains(at.position)
 	farBehind := !inWindow || role == Subscriber && len(l.after(at.position)) > coarseAfter
-	if l.config.Latest {
+	if l.config.Stateful {
 		at.snapshot = at.snapshot || !inWindow || farBehind && at.position.IsZero()
 		return at
 	}
@@ -27,7 +27,7 @@
 
 // needsReset tells whether what follows a cursor is not to be had, or is of no use to a newcomer.
 func (l *kindLog) needsReset(at cursor, role Role, coarseAfter int) bool {
-	if l.config.Latest {
+	if l.config.Stateful {
 		return false
 	}
 	if !l.contains(at.position) {
@@ -80,7 +80,7 @@
 	if role == Relay && l.base.Compare(at.position) > 0 {
 		end = l.base
 	}
-	part := Snapshot{Kind: kind, From: at.position, At: end, Last: true, WholeAt: laterOf(l.head, l.wholeAt)}
+	part := Snapshot{Kind: kind, From: at.position, At: end, Last: true, CompleteAt: laterOf(l.head, l.wholeAt)}
 	size := messageOverhead
 	for _, change := range l.latest.after(at.position) {
 		if change.Position.Compare(end) > 0 {
--- a/internal/feed/change.go
+++ b/internal/feed/change.go
@@ -17,7 +17,7 @@
 	Name string
 	// Latest kinds have a state: the latest value by key, all of which a newcomer gets. Others are events without a
 	// state, of which only the window is kept.
-	Latest bool
+	Stateful bool
 	// Window is how many of the latest changes are kept for an exact catch-up.
 	Window int
 	// MaxValue is the longest value in bytes.
--- a/internal/feed/checker_test.go
+++ b/internal/feed/checker_test.go
@@ -142,7 +142,7 @@
 	if problem != "" {
 		return problem
 	}
-	if v.role != Subscriber || c.kinds[e.Kind].Latest {
+	if v.role != Subscriber || c.kinds[e.Kind].Stateful {
 		return "is not for this node or kind"
 	}
 	if !k.catchingUp && c.behind(e.Kind, e.From) <= c.coarseAfter {
@@ -212,7 +212,7 @@
 	if _, problem := c.span(k, e.Kind, e.From, e.To); problem != "" {
 		return problem
 	}
-	if c.kinds[e.Kind].Latest {
+	if c.kinds[e.Kind].Stateful {
 		return "is not for a kind with a latest state"
 	}
 	if problem := c.beyondWindow(e.Kind, e.From); problem != "" {
@@ -271,7 +271,7 @@
 // latestState requires that a node has the latest change of each key.
 func (c *checker) latestState(node string, now time.Duration) {
 	for kind, config := range c.kinds {
-		if !config.Latest {
+		if !config.Stateful {
 			continue
 		}
 		truth := make(map[string]uint64)
--- a/internal/feed/codec_fields.go
+++ b/internal/feed/codec_fields.go
@@ -71,7 +71,7 @@
 	e.bytes([]byte(m.Cluster))
 	e.bytes([]byte(m.ID))
 	e.buffer = append(e.buffer, byte(m.Role))
-	e.number(uint64(m.Kinds))
+	e.number(uint64(m.KindsChecksum))
 	e.number(m.Epoch)
 	e.flag(m.Probe)
 	e.number(uint64(m.Stamp))
@@ -82,7 +82,7 @@
 
 func decodeHello(d *decoder) Message {
 	return Hello{
-		Version: d.number(), Cluster: d.name(), ID: d.name(), Role: Role(d.octet()), Kinds: d.checksum(), Epoch: d.number(),
+		Version: d.number(), Cluster: d.name(), ID: d.name(), Role: Role(d.octet()), KindsChecksum: d.checksum(), Epoch: d.number(),
 		Probe: d.flag(), Stamp: Stamp(d.number()), Age: d.age(), SinceReceived: d.age(),
 		Positions: d.positions(),
 	}
@@ -191,7 +191,7 @@
 	e.number(uint64(m.Echo))
 	e.age(m.Age)
 	e.flag(m.Last)
-	e.position(m.WholeAt)
+	e.position(m.CompleteAt)
 	e.number(uint64(len(m.Entries)))
 	previous := m.From
 	for _, entry := range m.Entries {
@@ -205,7 +205,7 @@
 func decodeSnapshot(d *decoder) Message {
 	m := Snapshot{}
 	m.Kind, m.From, m.At = d.span()
-	m.Echo, m.Age, m.Last, m.WholeAt = Stamp(d.number()), d.age(), d.flag(), d.position()
+	m.Echo, m.Age, m.Last, m.CompleteAt = Stamp(d.number()), d.age(), d.flag(), d.position()
 	const leastEntryBits = 5 * 8 // the step's two numbers, the two lengths, and one byte of key
 	count := d.count(leastEntryBits)
 	previous := m.From
--- a/internal/feed/codec_test.go
+++ b/internal/feed/codec_test.go
@@ -24,7 +24,7 @@
 	later := Position{Epoch: 4, Sequence: 1003}
 	return []Message{
 		Hello{
-			Version: Version, Cluster: "fleet", ID: "node-1", Role: Relay, Kinds: 1 << 31, Epoch: 3, Probe: true, Stamp: 77,
+			Version: Version, Cluster: "fleet", ID: "node-1", Role: Relay, KindsChecksum: 1 << 31, Epoch: 3, Probe: true, Stamp: 77,
 			Age: 5 * time.Millisecond, SinceReceived: time.Second, Positions: []Position{from, {}},
 		},
 		Hello{Version: Version, Cluster: "fleet", ID: "node-2", Role: Subscriber, Age: AgeUnknown},
@@ -40,7 +40,7 @@
 		PrefixSet{Kind: 1, From: from, To: later, Echo: 8, Age: time.Minute, PrefixBits: 24, Prefixes: []uint64{0, 1, 1<<24 - 1}},
 		PrefixSet{Kind: 1, From: from, To: later, PrefixBits: 24},
 		Snapshot{
-			From: Position{}, At: later, Echo: 4, Age: AgeUnknown, Last: true, WholeAt: later,
+			From: Position{}, At: later, Echo: 4, Age: AgeUnknown, Last: true, CompleteAt: later,
 			Entries: []Change{setting(from, "a", "1"), setting(later, "b", "")},
 		},
 		Snapshot{Kind: 0, From: from, At: later},
--- a/internal/feed/config.go
+++ b/internal/feed/config.go
@@ -140,7 +140,7 @@
 	e := encoder{}
 	for _, kind := range c.Kinds {
 		e.bytes([]byte(kind.Name))
-		e.flag(kind.Latest)
+		e.flag(kind.Stateful)
 	}
 	return crc32.Checksum(e.buffer, castagnoli)
 }
--- a/internal/feed/config_test.go
+++ b/internal/feed/config_test.go
@@ -81,7 +81,7 @@
 	config := publisherConfig()
 	config.Epoch = 2
 	for _, test := range tests {
-		var wrong *SavedError
+		var wrong *SavedChangeError
 		if _, err := NewNode(config, test.saved, 0); !errors.As(err, &wrong) {
 			t.Errorf("%s: %v", test.name, err)
 		}
--- a/internal/feed/errors.go
+++ b/internal/feed/errors.go
@@ -32,13 +32,13 @@
 	return fmt.Sprintf("feed: %s: %s", e.Field, e.Problem)
 }
 
-// SavedError is a kept record that doesn't fit the ones before it.
-type SavedError struct {
+// SavedChangeError is a kept record that doesn't fit the ones before it.
+type SavedChangeError struct {
 	Change  Change
 	Problem string
 }
 
 // Error returns the record's place and what is wrong with it.
-func (e *SavedError) Error() string {
+func (e *SavedChangeError) Error() string {
 	return fmt.Sprintf("feed: saved change %s of kind %d: %s", e.Change.Position, e.Change.Kind, e.Problem)
 }
--- a/internal/feed/feednet/helpers_test.go
+++ b/internal/feed/feednet/helpers_test.go
@@ -34,7 +34,7 @@
 	config := feed.Config{
 		Cluster: "test", ID: id, Role: role, Parents: parents, Seed: uint64(len(id)) + 1,
 		Kinds: []feed.KindConfig{
-			{Name: "settings", Latest: true, Window: 100, MaxValue: 100},
+			{Name: "settings", Stateful: true, Window: 100, MaxValue: 100},
 			{Name: "purges", Window: 1000},
 		},
 		BatchEvery: 20 * time.Millisecond,
--- a/internal/feed/feednet/loop.go
+++ b/internal/feed/feednet/loop.go
@@ -104,7 +104,7 @@
 
 // carryOut does what the node wants done. What has to be kept is on disk before anything is sent or acknowledged.
 func (l *loop) carryOut(output feed.Output) error {
-	if err := l.keep(output.Keep); err != nil {
+	if err := l.keep(output.Persist); err != nil {
 		return err
 	}
 	l.reply(nil)
--- a/internal/feed/feedscale/feedconfig.go
+++ b/internal/feed/feedscale/feedconfig.go
@@ -17,7 +17,7 @@
 // feedKinds are the kinds of changes, as the program's control command has them by default.
 func feedKinds() []feed.KindConfig {
 	return []feed.KindConfig{
-		Settings: {Name: Settings.String(), Latest: true, Window: settingsWindow, MaxValue: maxSettingBytes},
+		Settings: {Name: Settings.String(), Stateful: true, Window: settingsWindow, MaxValue: maxSettingBytes},
 		Purges:   {Name: Purges.String(), Window: purgesWindow},
 	}
 }
--- a/internal/feed/greeting.go
+++ b/internal/feed/greeting.go
@@ -69,7 +69,7 @@
 		return RefusedVersion
 	case hello.Cluster != n.config.Cluster:
 		return RefusedCluster
-	case hello.Kinds != n.config.kindsChecksum() || len(hello.Positions) != len(n.kinds):
+	case hello.KindsChecksum != n.config.kindsChecksum() || len(hello.Positions) != len(n.kinds):
 		return RefusedKinds
 	}
 	return 0
@@ -154,6 +154,6 @@
 
 // helloAgain asks the parent to go on from this node's positions, after a message that doesn't fit them.
 func (n *Node) helloAgain(link *link) {
-	n.counters.Rehellos++
+	n.counters.Resyncs++
 	n.sendHello(link, false)
 }
--- a/internal/feed/log.go
+++ b/internal/feed/log.go
@@ -43,7 +43,7 @@
 		return
 	}
 	l.records = append(l.records, record{change: change, knownBefore: knownBefore})
-	if l.config.Latest {
+	if l.config.Stateful {
 		l.latest.set(change)
 	}
 	if len(l.records) > l.config.Window {
@@ -69,7 +69,7 @@
 
 // applySnapshot takes a part of a snapshot that ends at a position.
 func (l *kindLog) applySnapshot(entries []Change, at Position) {
-	if l.keeps && l.config.Latest {
+	if l.keeps && l.config.Stateful {
 		for _, entry := range entries {
 			l.latest.set(entry)
 		}
--- a/internal/feed/log_test.go
+++ b/internal/feed/log_test.go
@@ -18,7 +18,7 @@
 
 // filledLog returns a log with a window of 5 and changes 1 to 12, from 7 on of epoch 2.
 func filledLog(latest bool) kindLog {
-	log := newKindLog(KindConfig{Name: "test", Latest: latest, Window: 5}, true)
+	log := newKindLog(KindConfig{Name: "test", Stateful: latest, Window: 5}, true)
 	for sequence := uint64(1); sequence <= 12; sequence++ {
 		epoch := uint64(1)
 		if sequence >= 7 {
@@ -93,7 +93,7 @@
 }
 
 func TestSubscriberLogKeepsThePositionAlone(t *testing.T) {
-	log := newKindLog(KindConfig{Latest: true, Window: 5}, false)
+	log := newKindLog(KindConfig{Stateful: true, Window: 5}, false)
 	log.append(testChange(0, 1, 1), watermark{})
 	log.applySnapshot([]Change{testChange(0, 1, 2)}, Position{1, 3})
 	if log.head != (Position{1, 3}) || len(log.records) > 0 || len(log.latest.byKey) > 0 {
--- a/internal/feed/message.go
+++ b/internal/feed/message.go
@@ -28,7 +28,7 @@
 	ID      string
 	Role    Role
 	// Kinds is a checksum of the kinds' names and sorts, see Config.Kinds.
-	Kinds uint32
+	KindsChecksum uint32
 	// Epoch is the highest that the sender has seen.
 	Epoch uint64
 	// Probe: the child wants the parent's Hello alone for now, no changes.
@@ -138,7 +138,7 @@
 	Last bool
 	// WholeAt is the position from which on the child has all that it has passed: what superseded the changes left out is
 	// at WholeAt at the latest.
-	WholeAt Position
+	CompleteAt Position
 }
 
 // WindowReset tells a child that the changes between two positions are not to be had anymore.
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -64,11 +64,11 @@
 	}
 	for _, change := range saved {
 		if int(change.Kind) >= len(n.kinds) {
-			return &SavedError{Change: change, Problem: "the kind isn't configured"}
+			return &SavedChangeError{Change: change, Problem: "the kind isn't configured"}
 		}
 		log := &n.kinds[change.Kind]
 		if change.Position.Compare(log.head) <= 0 || change.Position.Sequence <= log.head.Sequence {
-			return &SavedError{Change: change, Problem: "is not later than the one before it, at " + log.head.String()}
+			return &SavedChangeError{Change: change, Problem: "is not later than the one before it, at " + log.head.String()}
 		}
 		if change.Position.Epoch > n.config.Epoch {
 			return invalid("Epoch", "%d is lower than that of the changes kept, %d", n.config.Epoch, change.Position.Epoch)
@@ -123,7 +123,7 @@
 	}
 	log.append(change, watermark{known: true, at: n.now})
 	n.children.pending = true
-	n.output.Keep = append(n.output.Keep, change)
+	n.output.Persist = append(n.output.Persist, change)
 	return change.Position, nil
 }
 
@@ -137,7 +137,7 @@
 		return ErrUnknownKind
 	case len(key) == 0 || len(key) > MaxKeyLength:
 		return ErrKeyLength
-	case !n.config.Kinds[kind].Latest && len(key) < minEventKeyLength:
+	case !n.config.Kinds[kind].Stateful && len(key) < minEventKeyLength:
 		return ErrKeyLength
 	case len(value) > n.config.Kinds[kind].MaxValue:
 		return ErrValueLength
--- a/internal/feed/node_test.go
+++ b/internal/feed/node_test.go
@@ -26,7 +26,7 @@
 // greeting returns the Hello of a parent of the same cluster.
 func greeting(config Config, role Role, epoch uint64, age time.Duration) Hello {
 	return Hello{
-		Version: Version, Cluster: config.Cluster, ID: "parent", Role: role, Kinds: config.kindsChecksum(), Epoch: epoch,
+		Version: Version, Cluster: config.Cluster, ID: "parent", Role: role, KindsChecksum: config.kindsChecksum(), Epoch: epoch,
 		Age: age, Positions: make([]Position, len(config.Kinds)),
 	}
 }
@@ -133,7 +133,7 @@
 	config.Role = Relay
 	node := followingNode(t, config)
 	node.Receive(parentPeer, PrefixSet{Kind: 1, To: Position{5, 1}, PrefixBits: prefixBits, Prefixes: []uint64{1}})
-	if output := node.TakeOutput(); len(output.Events) > 0 || node.Status().Counters.Rehellos != 1 {
+	if output := node.TakeOutput(); len(output.Events) > 0 || node.Status().Counters.Resyncs != 1 {
 		t.Errorf("took %v", output.Events)
 	}
 }
@@ -146,7 +146,7 @@
 	}{
 		{RefusedVersion, func(h *Hello) { h.Version++ }},
 		{RefusedCluster, func(h *Hello) { h.Cluster = "other" }},
-		{RefusedKinds, func(h *Hello) { h.Kinds++ }},
+		{RefusedKinds, func(h *Hello) { h.KindsChecksum++ }},
 		{RefusedKinds, func(h *Hello) { h.Positions = h.Positions[1:] }},
 		{RefusedRole, func(h *Hello) { h.Role = Subscriber }},
 	}
@@ -183,7 +183,7 @@
 	}{
 		{"version", publisher, RefusedVersion, func(h *Hello) { h.Version++ }},
 		{"cluster", publisher, RefusedCluster, func(h *Hello) { h.Cluster = "other" }},
-		{"kinds", publisher, RefusedKinds, func(h *Hello) { h.Kinds++ }},
+		{"kinds", publisher, RefusedKinds, func(h *Hello) { h.KindsChecksum++ }},
 		{"publisher under a publisher", publisher, RefusedRole, func(h *Hello) { h.Role = Publisher }},
 		{"relay under a relay", relay, RefusedRole, func(h *Hello) { h.Role = Relay }},
 		{"under a subscriber", subscriberConfig(), RefusedRole, func(*Hello) {}},
@@ -324,8 +324,8 @@
 		t.Fatal(err)
 	}
 	output := node.TakeOutput()
-	if len(output.Keep) != 1 || output.Keep[0].Position != position || len(output.Send) > 0 {
-		t.Errorf("keeps %v, sends %v", output.Keep, output.Send)
+	if len(output.Persist) != 1 || output.Persist[0].Position != position || len(output.Send) > 0 {
+		t.Errorf("keeps %v, sends %v", output.Persist, output.Send)
 	}
 	node.Tick(node.NextTick())
 	if sent := sentTo(node.TakeOutput(), otherPeer); len(sent) != 1 {
--- a/internal/feed/output.go
+++ b/internal/feed/output.go
@@ -8,7 +8,7 @@
 // Output is what the driver has to do for a node.
 type Output struct {
 	// Keep has to be on disk before Send is sent. Publisher only.
-	Keep []Change
+	Persist []Change
 	// Send is in the order of sending.
 	Send []Envelope
 	// Dial, if not empty, is the parent to connect to. It takes the place of an attempt that is still under way.
--- a/internal/feed/parent.go
+++ b/internal/feed/parent.go
@@ -181,7 +181,7 @@
 		Cluster:       n.config.Cluster,
 		ID:            n.config.ID,
 		Role:          n.config.Role,
-		Kinds:         n.config.kindsChecksum(),
+		KindsChecksum: n.config.kindsChecksum(),
 		Epoch:         n.epoch,
 		Probe:         probe,
 		Stamp:         stamp,
--- a/internal/feed/receive.go
+++ b/internal/feed/receive.go
@@ -94,7 +94,7 @@
 
 func (n *Node) applyPrefixSet(log *kindLog, m PrefixSet) bool {
 	// A node that keeps changes needs all of them.
-	if log.keeps || log.config.Latest {
+	if log.keeps || log.config.Stateful {
 		return false
 	}
 	switch fitOf(log.head, m.From, m.To) {
@@ -109,7 +109,7 @@
 }
 
 func (n *Node) applySnapshot(log *kindLog, m Snapshot) bool {
-	if !log.config.Latest {
+	if !log.config.Stateful {
 		return false
 	}
 	switch fitOf(log.head, m.From, m.At) {
@@ -117,7 +117,7 @@
 		return false
 	case fitFollows:
 		log.applySnapshot(m.Entries, m.At)
-		log.wholeAt = laterOf(log.wholeAt, m.WholeAt)
+		log.wholeAt = laterOf(log.wholeAt, m.CompleteAt)
 		n.emit(AppliedSnapshot{Kind: m.Kind, From: m.From, To: m.At, Changes: slices.Clone(m.Entries), Last: m.Last})
 	}
 	n.applied(m.Echo, m.Age)
@@ -125,7 +125,7 @@
 }
 
 func (n *Node) applyReset(log *kindLog, m WindowReset) bool {
-	if log.config.Latest {
+	if log.config.Stateful {
 		return false
 	}
 	switch fitOf(log.head, m.From, m.To) {
--- a/internal/feed/serve.go
+++ b/internal/feed/serve.go
@@ -63,7 +63,7 @@
 
 func (n *Node) serveKinds(child *child, latest bool) {
 	for i := range n.kinds {
-		if n.kinds[i].config.Latest != latest {
+		if n.kinds[i].config.Stateful != latest {
 			continue
 		}
 		for n.serveNext(child, Kind(i)) {
--- a/internal/feed/simulated_network_test.go
+++ b/internal/feed/simulated_network_test.go
@@ -250,7 +250,7 @@
 
 func (s *simulation) carryOut(sn *simulatedNode) {
 	output := sn.node.TakeOutput()
-	for _, change := range output.Keep {
+	for _, change := range output.Persist {
 		sn.disk = append(sn.disk, change)
 		s.checker.publish(change, s.now)
 	}
--- a/internal/feed/simulated_plan_test.go
+++ b/internal/feed/simulated_plan_test.go
@@ -156,7 +156,7 @@
 	return Config{
 		Cluster: "simulated",
 		Kinds: []KindConfig{
-			{Name: "settings", Latest: true, Window: min(window/30, 100), MaxValue: 64},
+			{Name: "settings", Stateful: true, Window: min(window/30, 100), MaxValue: 64},
 			{Name: "purges", Window: window},
 		},
 		CoarseAfter: DefaultCoarseAfter,
@@ -262,7 +262,7 @@
 
 func (s *simulation) publishRandom(kind Kind) {
 	publisher := s.byName[publisherName]
-	if publisher.config.Kinds[kind].Latest {
+	if publisher.config.Kinds[kind].Stateful {
 		const settingKeys = 20
 		key := fmt.Sprintf("setting-%d", s.publications.IntN(settingKeys))
 		s.publish(publisher, kind, []byte(key), fmt.Appendf(nil, "value-%d", s.publications.IntN(1000)))
--- a/internal/feed/status.go
+++ b/internal/feed/status.go
@@ -31,7 +31,7 @@
 	// Deferred counts the times that changes for a child were put off for want of budget.
 	Deferred uint64
 	// Rehellos counts messages of a parent that didn't fit, so that the node said Hello again.
-	Rehellos uint64
+	Resyncs uint64
 }
 
 // Traffic counts messages and bytes.
