--- a/cmd/larchthread/control_test.go
+++ b/cmd/larchthread/control_test.go
@@ -144,13 +144,13 @@
 	c := startControlCluster(t)
 	link := c.links["a"]
 	setHole := func(on bool) {
-		link.Set(trial.Out, trial.Impairment{Hole: on})
-		link.Set(trial.Back, trial.Impairment{Hole: on})
+		link.SetImpairment(trial.Out, trial.Impairment{Blackhole: on})
+		link.SetImpairment(trial.Back, trial.Impairment{Blackhole: on})
 	}
 	for _, fault := range []struct {
 		name string
 		set  func(on bool)
-	}{{"cut", link.Cut}, {"hole", setHole}} {
+	}{{"cut", link.SetCut}, {"hole", setHole}} {
 		staleCount := c.checkOutput("onlya").staleCount
 		fault.set(true)
 		c.publish(testChanges(fault.name, 100))
@@ -170,10 +170,10 @@
 	c := startControlCluster(t)
 	c.publish(testChanges("before", 40)) // a follower without any state would get a reset instead of sets
 	c.waitCurrent()
-	c.links["a"].Cut(true)
+	c.links["a"].SetCut(true)
 	c.publish(testChanges("cut", 1200))
 	c.waitCurrent("f1", "f2", "f3", "f4", "onlyb")
-	c.links["a"].Cut(false)
+	c.links["a"].SetCut(false)
 	c.waitCurrent()
 	c.checkSettings()
 	if checker := c.checkOutput("onlya"); checker.prefixSetCount == 0 || checker.resetCount > 0 {
@@ -206,7 +206,7 @@
 	c := startControlCluster(t)
 	slow := trial.Impairment{Delay: milliseconds(30), Jitter: milliseconds(10)}
 	for _, name := range controlRelays {
-		c.links[name].Set(trial.Back, slow)
+		c.links[name].SetImpairment(trial.Back, slow)
 	}
 	for round := range 2 {
 		concurrent := c.startPublishing(testChanges(fmt.Sprint("amid", round), 2000))
@@ -216,7 +216,7 @@
 		c.publisher.start()
 		c.breakConnectionMidMessage("b")
 		c.publish(testChanges(fmt.Sprint("after", round), 4*settingsKeyCount))
-		c.links["b"].Set(trial.Back, slow)
+		c.links["b"].SetImpairment(trial.Back, slow)
 		c.waitCurrent()
 	}
 	c.checkSettings()
@@ -229,7 +229,7 @@
 	const severAfterBytes = 300
 	lostConnections := func() int { return strings.Count(c.relays[relay].log.String(), "connection lost") }
 	before := lostConnections()
-	c.links[relay].Set(trial.Back, trial.Impairment{Sever: severAfterBytes})
+	c.links[relay].SetImpairment(trial.Back, trial.Impairment{ResetAfter: severAfterBytes})
 	waitUntil(c.t, "a connection is lost", func() bool { return lostConnections() > before }, c.relays[relay].log.String)
 }
 
@@ -281,8 +281,8 @@
 	c.waitCurrent()
 	c.linkTargets["a"].Store(&old.address)
 	old.start()
-	c.links["a"].Cut(true)
-	c.links["a"].Cut(false)
+	c.links["a"].SetCut(true)
+	c.links["a"].SetCut(false)
 	old.waitFor("old publisher is fenced", func(answers []string) bool {
 		if _, err := io.WriteString(old.input, "purges never\n"); err != nil {
 			t.Fatal(err)
--- a/cmd/larchthread/spoilt_test.go
+++ b/cmd/larchthread/spoilt_test.go
@@ -11,7 +11,7 @@
 // A build with the tag faults lets a trial inject disk and clock faults into running processes. A process that starts during a
 // clock fault starts with its clock off.
 func TestSpoiltFilesAndClocks(t *testing.T) {
-	p, err := trial.Read([]byte(`
+	p, err := trial.ParsePlan([]byte(`
 name: files and clocks
 load: {for: 2.5s, rate: 100}
 faults:
--- a/cmd/larchthread/trial.go
+++ b/cmd/larchthread/trial.go
@@ -50,7 +50,7 @@
 	c := &cobra.Command{Use: "trial [PLAN.yaml...]", Short: "Start a fleet here, inject the faults of a plan, and check the rules (docs/trial.md)",
 		Long: "Start balancers beside simulated cache hosts on loopback, send them ops, inject the faults of a plan, and check the rules from\n" +
 			"what clients and hosts saw. The exit code is 1 where a rule was broken.\n\nFaults that a plan may name, and what they apply to:\n\n" +
-			trial.Kinds(),
+			trial.FaultTable(),
 		Example: "  larchthread trial plan.yaml --report report.html\n  larchthread trial --draw 20 --seed 1 --shrink",
 		RunE: func(c *cobra.Command, files []string) error {
 			plans, err := t.plans(files)
@@ -72,7 +72,7 @@
 	c := &cobra.Command{Use: "try", Short: "See it at work for 20 s: three balancers, one is killed, a host is taken out", Args: cobra.NoArgs,
 		Example: "  go run ./cmd/larchthread try",
 		RunE: func(c *cobra.Command, _ []string) error {
-			p, err := trial.Read([]byte(firstRun))
+			p, err := trial.ParsePlan([]byte(firstRun))
 			if err != nil {
 				return err
 			}
@@ -93,14 +93,14 @@
 		return nil, errors.New("no plan: name a file, or draw some with --draw")
 	}
 	for i := range t.drawn {
-		all = append(all, trial.Draw(t.seed+uint64(i)))
+		all = append(all, trial.RandomPlan(t.seed+uint64(i)))
 	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
 			return nil, err
 		}
-		p, err := trial.Read(text)
+		p, err := trial.ParsePlan(text)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", f, err)
 		}
@@ -127,7 +127,7 @@
 		}
 	}
 	run := func(ctx context.Context, p trial.Plan) (*trial.Result, error) {
-		cluster := &trial.Cluster{Program: program, Args: []string{"serve"}, Env: t.ofServer, Say: say}
+		cluster := &trial.Cluster{Program: program, Args: []string{"serve"}, Env: t.ofServer, Logf: say}
 		return cluster.Run(ctx, p)
 	}
 	failed := 0
@@ -146,7 +146,7 @@
 			continue
 		}
 		if failed++; t.shrink {
-			least, err := trial.Shrink(ctx, p, r.Rules(), run)
+			least, err := trial.Shrink(ctx, p, r.BrokenRules(), run)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), "larchthread:", err)
 				return exitError(exitFailure)
@@ -169,9 +169,9 @@
 			return err
 		}
 	case short && !r.Failed():
-		fmt.Fprintf(w, "%s: kept, %.1f%% in time\n", r.Name, 100*r.Service())
+		fmt.Fprintf(w, "%s: kept, %.1f%% in time\n", r.Name, 100*r.InTimeShare())
 	default:
-		r.Table(w)
+		r.WriteTable(w)
 		if r.Failed() {
 			fmt.Fprintf(w, "\nthe plan:\n%s", r.Plan)
 		}
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(r.HTML(f), f.Close()); err != nil {
+	if err := errors.Join(r.WriteHTML(f), f.Close()); err != nil {
 		return err
 	}
 	fmt.Fprintln(w, "report:", name)
--- a/cmd/larchthread/trial_test.go
+++ b/cmd/larchthread/trial_test.go
@@ -26,9 +26,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Failed() || len(r.Trouble) > 0 {
+	if r.Failed() || len(r.ClusterErrors) > 0 {
 		var b bytes.Buffer
-		r.Table(&b)
+		r.WriteTable(&b)
 		t.Errorf("%s\n%s", &b, r.Plan)
 	}
 	return r
@@ -81,7 +81,7 @@
 		if faults != "" {
 			text += "faults:" + faults
 		}
-		p, err := trial.Read([]byte(text))
+		p, err := trial.ParsePlan([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -92,8 +92,8 @@
 				slots <- true
 				defer func() { <-slots }()
 				r := runPlan(t, p)
-				if minService := 0.3; r.Service() < minService {
-					t.Errorf("share of ops served in time: %.2f, want at least %v", r.Service(), minService)
+				if minService := 0.3; r.InTimeShare() < minService {
+					t.Errorf("share of ops served in time: %.2f, want at least %v", r.InTimeShare(), minService)
 				}
 			})
 		}()
@@ -187,14 +187,14 @@
 
 // An HTML report holds the rules, load, faults and plots of a trial, and refers to no other file.
 func TestTrialReport(t *testing.T) {
-	p, err := trial.Read([]byte(
+	p, err := trial.ParsePlan([]byte(
 		"fleet: {balancers: 1, hosts: 2}\nload: {for: 1s, rate: 50}\nfaults: [{at: 0.2s, for: 0.3s, what: slow, of: [h1], by: 5}]"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := runPlan(t, p)
 	var html bytes.Buffer
-	if err := r.HTML(&html); err != nil {
+	if err := r.WriteHTML(&html); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"all rules kept", "pushes by host: h1 ", "0.20s slow 5 h1 for 300ms", "what: slow"} {
@@ -221,7 +221,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limited); err != nil {
 		t.Fatal(err)
 	}
-	p := trial.Usual()
+	p := trial.DefaultPlan()
 	p.Fleet.Hosts = 100
 	cluster := &trial.Cluster{Program: os.Args[0], Args: []string{"serve"}, Env: []string{"LARCHTHREAD_SERVE=1"}}
 	_, err := cluster.Run(context.Background(), p)
--- a/internal/trial/check.go
+++ b/internal/trial/check.go
@@ -12,26 +12,26 @@
 	"larchthread/internal/standin"
 )
 
-// Record is all that was seen from outside the balancers: what checkers go by.
-type Record struct {
+// History is all that was seen from outside the balancers: what checkers go by.
+type History struct {
 	Calls     []Call
-	Runs      []standin.ReceivedPush
-	Told      []standin.SentList
+	Pushes    []standin.ReceivedPush
+	Lists     []standin.SentList
 	Bans      []Ban
 	Balancers []BalancerRecord // by number
-	Slack     time.Duration    // by which links and the cluster may have made anything later
+	Tolerance time.Duration    // by which links and the cluster may have made anything later
 }
 
 // BalancerRecord is what is known of a balancer's process.
 type BalancerRecord struct {
-	Name     string
-	Source   string // what hosts see it as
-	Absences []Absence
-	Crash    string
+	Name    string
+	Source  string // what hosts see it as
+	Outages []Outage
+	Crash   string
 }
 
-// Break is a rule that was broken.
-type Break struct {
+// Violation is a rule that was broken.
+type Violation struct {
 	Rule string        `json:"rule"`
 	At   time.Duration `json:"at_ns"` // since the fleet's start
 	Text string        `json:"text"`
@@ -46,70 +46,70 @@
 var rules = []struct {
 	name  string
 	text  string
-	check func(*Record) []Break
+	check func(*History) []Violation
 }{
-	{"answers", "each op that a balancer took gets one answer, in its time, unless that balancer ended or stood still", (*Record).answers},
-	{"moot", "nothing is pushed after its op's TTL", (*Record).moot},
-	{"deadlines", "no attempt tells its server more time than its client has left", (*Record).deadlines},
-	{"effects", "an at-most-once op runs once at most; one that was nacked never ran", (*Record).effects},
-	{"window", "a deduplicated op runs again only inside the window in which hosts drop repeats", (*Record).window},
-	{"drains", "nothing new to a draining, banned or gone host after the grace, by each balancer", (*Record).drains},
-	{"cold", "no cold host is pushed over by all balancers together", (*Record).cold},
-	{"values", "reads and writes of each key could have happened one after another", (*Record).values},
-	{"crashes", "no process ends without being told to", (*Record).crashes},
+	{"answers", "each op that a balancer took gets one answer, in its time, unless that balancer ended or stood still", (*History).answers},
+	{"moot", "nothing is pushed after its op's TTL", (*History).moot},
+	{"deadlines", "no attempt tells its server more time than its client has left", (*History).deadlines},
+	{"effects", "an at-most-once op runs once at most; one that was nacked never ran", (*History).effects},
+	{"window", "a deduplicated op runs again only inside the window in which hosts drop repeats", (*History).window},
+	{"drains", "nothing new to a draining, banned or gone host after the grace, by each balancer", (*History).drains},
+	{"cold", "no cold host is pushed over by all balancers together", (*History).cold},
+	{"values", "reads and writes of each key could have happened one after another", (*History).values},
+	{"crashes", "no process ends without being told to", (*History).crashes},
 }
 
 // Check looks for broken rules, in the order of time.
-func (r *Record) Check() (all []Break) {
+func (r *History) Check() (all []Violation) {
 	for _, rule := range rules {
 		found := rule.check(r)
 		for i := range found {
 			found[i].Rule = rule.name
 		}
-		slices.SortStableFunc(found, func(x, y Break) int { return cmp.Compare(x.At, y.At) })
+		slices.SortStableFunc(found, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
 		if more := len(found) - breaksMost; more > 0 {
-			found = append(found[:breaksMost], Break{rule.name, found[breaksMost].At, fmt.Sprintf("and %d more", more)})
+			found = append(found[:breaksMost], Violation{rule.name, found[breaksMost].At, fmt.Sprintf("and %d more", more)})
 		}
 		all = append(all, found...)
 	}
-	slices.SortStableFunc(all, func(x, y Break) int { return cmp.Compare(x.At, y.At) })
+	slices.SortStableFunc(all, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
 	return all
 }
 
 // away tells whether a balancer was not serving at some time of a span.
 func (w BalancerRecord) away(from, to time.Duration) bool {
-	return slices.ContainsFunc(w.Absences, func(a Absence) bool { return a.From <= to && (a.To == 0 || a.To >= from) })
+	return slices.ContainsFunc(w.Outages, func(a Outage) bool { return a.From <= to && (a.To == 0 || a.To >= from) })
 }
 
 // answers: a balancer that ends takes its open ops with it, and one that stands still answers late.
-func (r *Record) answers() (all []Break) {
+func (r *History) answers() (all []Violation) {
 	pushed := map[string]bool{}
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		pushed[x.OpID] = true
 	}
 	for _, c := range r.Calls {
 		// Whoever has pushed an op had read its command: it did not cross.
-		if c.Balancer < 0 || c.Crossed && !pushed[c.ID] {
+		if c.Balancer < 0 || c.ClosedInTransit && !pushed[c.ID] {
 			continue
 		}
 		w := r.Balancers[c.Balancer]
-		if c.Again > 0 {
-			all = append(all, Break{At: c.Done, Text: fmt.Sprintf("op %s at %s: %d answers too many", c.ID, w.Name, c.Again)})
+		if c.ExtraAnswers > 0 {
+			all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("op %s at %s: %d answers too many", c.ID, w.Name, c.ExtraAnswers)})
 		}
-		lost := c.Answer == Silent || c.Answer == Cut || c.Done > c.Sent+ttl+answerSlack
-		if lost && !w.away(c.Sent-r.Slack, c.Sent+ttl+answerSlack) {
-			all = append(all, Break{At: c.Done, Text: fmt.Sprintf("op %s (%s %s) at %s: %s %q, %v after it was sent", c.ID, c.Category,
-				c.Key, w.Name, c.Answer, c.Text, (c.Done - c.Sent).Round(time.Millisecond))})
+		lost := c.Outcome == TimedOut || c.Outcome == Disconnected || c.Done > c.Sent+ttl+answerSlack
+		if lost && !w.away(c.Sent-r.Tolerance, c.Sent+ttl+answerSlack) {
+			all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("op %s (%s %s) at %s: %s %q, %v after it was sent", c.ID, c.Category,
+				c.Key, w.Name, c.Outcome, c.Text, (c.Done - c.Sent).Round(time.Millisecond))})
 		}
-		if strings.HasPrefix(c.Text, "answer of another op") || c.Answer == Acked && c.Write && c.Text != "receipt-"+c.ID {
-			all = append(all, Break{At: c.Done, Text: fmt.Sprintf("op %s at %s: %q is not its answer", c.ID, w.Name, c.Text)})
+		if strings.HasPrefix(c.Text, "answer of another op") || c.Outcome == Acked && c.Write && c.Text != "receipt-"+c.ID {
+			all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("op %s at %s: %q is not its answer", c.ID, w.Name, c.Text)})
 		}
 	}
 	return all
 }
 
 // byID are the ops by their ids.
-func (r *Record) byID() map[string]Call {
+func (r *History) byID() map[string]Call {
 	all := map[string]Call{}
 	for _, c := range r.Calls {
 		all[c.ID] = c
@@ -118,16 +118,16 @@
 }
 
 // moot: what a link held up, or was in a balancer that stood still, may come late.
-func (r *Record) moot() (all []Break) {
+func (r *History) moot() (all []Violation) {
 	ops := r.byID()
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		c, known := ops[x.OpID]
 		if !known {
 			continue
 		}
-		end := c.Sent + ttl + r.Slack
+		end := c.Sent + ttl + r.Tolerance
 		if x.ReceivedAt > end && !(c.Balancer >= 0 && r.Balancers[c.Balancer].away(c.Sent, x.ReceivedAt)) {
-			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("op %s pushed to %s %v after its TTL", x.OpID, x.Host,
+			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("op %s pushed to %s %v after its TTL", x.OpID, x.Host,
 				(x.ReceivedAt - c.Sent - ttl).Round(time.Millisecond))})
 		}
 	}
@@ -135,47 +135,47 @@
 }
 
 // deadlines: also a balancer that stood still has to count that, as its client's time went on.
-func (r *Record) deadlines() (all []Break) {
+func (r *History) deadlines() (all []Violation) {
 	ops := r.byID()
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		c, known := ops[x.OpID]
-		if over := x.Deadline - c.Sent - ttl; known && over > deadlineSlack+r.Slack {
-			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("op %s: %s was told to answer until %v after its TTL", x.OpID, x.Host,
+		if over := x.Deadline - c.Sent - ttl; known && over > deadlineSlack+r.Tolerance {
+			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("op %s: %s was told to answer until %v after its TTL", x.OpID, x.Host,
 				over.Round(time.Millisecond))})
 		}
 	}
 	return all
 }
 
-func (r *Record) effects() (all []Break) {
+func (r *History) effects() (all []Violation) {
 	ops, runs := r.byID(), map[string][]standin.ReceivedPush{}
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		if x.Executed && categories[x.Category] == "fragile" {
 			runs[x.OpID] = append(runs[x.OpID], x)
 		}
 	}
 	for id, ran := range runs {
 		if len(ran) > 1 {
-			all = append(all, Break{At: ran[1].ReceivedAt, Text: fmt.Sprintf("at-most-once op %s ran %d times", id, len(ran))})
+			all = append(all, Violation{At: ran[1].ReceivedAt, Text: fmt.Sprintf("at-most-once op %s ran %d times", id, len(ran))})
 		}
-		if c, known := ops[id]; known && c.Answer == Nacked {
-			all = append(all, Break{At: c.Done, Text: fmt.Sprintf("at-most-once op %s was nacked and ran at %s", id, ran[0].Host)})
+		if c, known := ops[id]; known && c.Outcome == Nacked {
+			all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("at-most-once op %s was nacked and ran at %s", id, ran[0].Host)})
 		}
 	}
 	return all
 }
 
-func (r *Record) window() (all []Break) {
+func (r *History) window() (all []Violation) {
 	first := map[string]standin.ReceivedPush{}
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		if categories[x.Category] != "dedup" || !x.Executed {
 			continue
 		}
 		f, again := first[x.OpID]
 		if !again {
 			first[x.OpID] = x
-		} else if x.ReceivedAt-f.ReceivedAt > dropsFor+r.Slack {
-			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("deduplicated op %s ran again %v after it first did", x.OpID,
+		} else if x.ReceivedAt-f.ReceivedAt > dropsFor+r.Tolerance {
+			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("deduplicated op %s ran again %v after it first did", x.OpID,
 				(x.ReceivedAt - f.ReceivedAt).Round(time.Millisecond))})
 		}
 	}
@@ -190,7 +190,7 @@
 
 // drains: lists count from when discovery wrote them. A process that starts anew knows what its start file says, and what it
 // is told from then on; while it stands still it hears nothing, so the grace begins once it goes on.
-func (r *Record) drains() (all []Break) {
+func (r *History) drains() (all []Violation) {
 	bySource := map[string]int{}
 	for i, w := range r.Balancers {
 		bySource[w.Source] = i
@@ -209,7 +209,7 @@
 				shuts[i][host][n-1].To = at
 			}
 		}
-		for _, t := range r.Told {
+		for _, t := range r.Lists {
 			if t.View != w.Name {
 				continue
 			}
@@ -226,7 +226,7 @@
 				continue
 			}
 			to := b.To
-			for _, a := range w.Absences { // a ban does not outlive its process
+			for _, a := range w.Outages { // a ban does not outlive its process
 				if !a.Frozen && a.From > b.From && (to == 0 || a.From < to) {
 					to = a.From
 				}
@@ -234,40 +234,40 @@
 			shuts[i][b.Host] = append(shuts[i][b.Host], shut{Span{b.From, to}, "banned"})
 		}
 	}
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		i, known := bySource[x.ClientIP]
 		if !known {
 			continue
 		}
 		for _, s := range shuts[i][x.Host] {
-			late := x.ReceivedAt - s.From - drainGrace - r.Slack
+			late := x.ReceivedAt - s.From - drainGrace - r.Tolerance
 			if late <= 0 || s.To != 0 && x.ReceivedAt > s.To || r.Balancers[i].away(s.From, x.ReceivedAt) {
 				continue
 			}
-			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("%s pushed op %s to %s, %s %v before", r.Balancers[i].Name, x.OpID,
+			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("%s pushed op %s to %s, %s %v before", r.Balancers[i].Name, x.OpID,
 				x.Host, s.why, (x.ReceivedAt - s.From).Round(time.Millisecond))})
 		}
 	}
 	return all
 }
 
-func (r *Record) cold() (all []Break) {
-	for _, x := range r.Runs {
+func (r *History) cold() (all []Violation) {
+	for _, x := range r.Pushes {
 		if x.CausedCrash {
-			all = append(all, Break{At: x.ReceivedAt, Text: fmt.Sprintf("%s was pushed over while it was cold", x.Host)})
+			all = append(all, Violation{At: x.ReceivedAt, Text: fmt.Sprintf("%s was pushed over while it was cold", x.Host)})
 		}
 	}
 	return all
 }
 
-func (r *Record) crashes() (all []Break) {
+func (r *History) crashes() (all []Violation) {
 	for _, w := range r.Balancers {
 		if w.Crash != "" {
 			at := time.Duration(0)
-			if n := len(w.Absences); n > 0 {
-				at = w.Absences[n-1].From
+			if n := len(w.Outages); n > 0 {
+				at = w.Outages[n-1].From
 			}
-			all = append(all, Break{At: at, Text: fmt.Sprintf("%s ended by itself: %s", w.Name, w.Crash)})
+			all = append(all, Violation{At: at, Text: fmt.Sprintf("%s ended by itself: %s", w.Name, w.Crash)})
 		}
 	}
 	return all
@@ -290,9 +290,9 @@
 const valuesMost = 10 * time.Second // for one trial's search; what is not found in it is not held against anybody
 
 // values: a write with no yes may happen at any time after it was sent, or never; a read with none tells nothing.
-func (r *Record) values() (all []Break) {
+func (r *History) values() (all []Violation) {
 	byKey, ran := map[string][]porcupine.Operation{}, map[string]bool{}
-	for _, x := range r.Runs {
+	for _, x := range r.Pushes {
 		if x.Executed && x.Write {
 			ran[x.OpID] = true
 		}
@@ -304,14 +304,14 @@
 	for i, c := range r.Calls {
 		op := porcupine.Operation{ClientId: i, Call: int64(c.Sent), Return: int64(c.Done)}
 		switch {
-		case c.Write && c.Answer == Acked:
+		case c.Write && c.Outcome == Acked:
 			op.Input = access{c.ID}
 		case c.Write && ran[c.ID]:
 			op.Input, op.Return = access{c.ID}, int64(last)+int64(time.Hour)
-		case !c.Write && c.Answer == Acked:
+		case !c.Write && c.Outcome == Acked:
 			value, mine := strings.CutPrefix(c.Text, c.Key+" ")
 			if !mine {
-				all = append(all, Break{At: c.Done, Text: fmt.Sprintf("read of %s gave %.60q", c.Key, c.Text)})
+				all = append(all, Violation{At: c.Done, Text: fmt.Sprintf("read of %s gave %.60q", c.Key, c.Text)})
 				continue
 			}
 			op.Input, op.Output = access{}, value
@@ -325,7 +325,7 @@
 	end := time.Now().Add(valuesMost)
 	for key, ops := range byKey {
 		if porcupine.CheckOperationsTimeout(register, ops, max(time.Until(end), time.Millisecond)) == porcupine.Illegal {
-			all = append(all, Break{At: time.Duration(ops[0].Call), Text: fmt.Sprintf("%s: no order of its %d reads and writes explains what was read", key, len(ops))})
+			all = append(all, Violation{At: time.Duration(ops[0].Call), Text: fmt.Sprintf("%s: no order of its %d reads and writes explains what was read", key, len(ops))})
 		}
 	}
 	return all
--- a/internal/trial/check_test.go
+++ b/internal/trial/check_test.go
@@ -11,32 +11,32 @@
 const ms = time.Millisecond
 
 // kept is a history in which all rules are kept, with something of everything.
-func kept() *Record {
-	return &Record{
-		Slack: 10 * ms,
+func kept() *History {
+	return &History{
+		Tolerance: 10 * ms,
 		Balancers: []BalancerRecord{
 			{Name: "b1", Source: "s1"},
-			{Name: "b2", Source: "s2", Absences: []Absence{{Span{5000 * ms, 8000 * ms}, false}}},
-			{Name: "b3", Source: "s3", Absences: []Absence{{Span{5000 * ms, 6000 * ms}, true}}},
+			{Name: "b2", Source: "s2", Outages: []Outage{{Span{5000 * ms, 8000 * ms}, false}}},
+			{Name: "b3", Source: "s3", Outages: []Outage{{Span{5000 * ms, 6000 * ms}, true}}},
 		},
 		Calls: []Call{
-			{ID: "r1", Key: "k", Category: "read", Sent: 100 * ms, Done: 110 * ms, Answer: Acked, Text: "k unwritten"},
-			{ID: "w1", Key: "k", Category: "put", Write: true, Sent: 200 * ms, Done: 220 * ms, Answer: Acked, Text: "receipt-w1"},
-			{ID: "r2", Key: "k", Category: "read", Sent: 300 * ms, Done: 310 * ms, Answer: Acked, Text: "k w1"},
-			{ID: "o1", Key: "k", Category: "once", Write: true, Sent: 400 * ms, Done: 410 * ms, Answer: Nacked, Text: "SERVER_ERROR busy 9"},
-			{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 510 * ms, Answer: Failed, Text: "SERVER_ERROR failed"},
-			{ID: "lost", Key: "k", Category: "read", Balancer: 1, Sent: 4900 * ms, Done: 5000 * ms, Answer: Cut},
-			{ID: "none", Key: "k", Category: "read", Balancer: -1, Sent: 0, Done: 5100 * ms, Answer: Untaken},
+			{ID: "r1", Key: "k", Category: "read", Sent: 100 * ms, Done: 110 * ms, Outcome: Acked, Text: "k unwritten"},
+			{ID: "w1", Key: "k", Category: "put", Write: true, Sent: 200 * ms, Done: 220 * ms, Outcome: Acked, Text: "receipt-w1"},
+			{ID: "r2", Key: "k", Category: "read", Sent: 300 * ms, Done: 310 * ms, Outcome: Acked, Text: "k w1"},
+			{ID: "o1", Key: "k", Category: "once", Write: true, Sent: 400 * ms, Done: 410 * ms, Outcome: Nacked, Text: "SERVER_ERROR busy 9"},
+			{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 510 * ms, Outcome: Failed, Text: "SERVER_ERROR failed"},
+			{ID: "lost", Key: "k", Category: "read", Balancer: 1, Sent: 4900 * ms, Done: 5000 * ms, Outcome: Disconnected},
+			{ID: "none", Key: "k", Category: "read", Balancer: -1, Sent: 0, Done: 5100 * ms, Outcome: NotAccepted},
 		},
-		Runs: []standin.ReceivedPush{
+		Pushes: []standin.ReceivedPush{
 			{Host: "h1", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 101 * ms, Executed: true},
 			{Host: "origin", ClientIP: "s1", OpID: "w1", Key: "k", Category: "put", Write: true, ReceivedAt: 201 * ms, Executed: true},
 			{Host: "origin", ClientIP: "s1", OpID: "o1", Key: "k", Category: "once", Write: true, ReceivedAt: 401 * ms},
 			{Host: "origin", ClientIP: "s1", OpID: "o2", Key: "k", Category: "once", Write: true, ReceivedAt: 501 * ms, Executed: true},
 			{Host: "h1", ClientIP: "s1", OpID: "r2", Category: "read", ReceivedAt: 600 * ms, Executed: true, Cold: true},
 		},
-		Told: []standin.SentList{{View: "b1", SentAt: 2000 * ms, Phases: map[string]string{"h1": standin.Terminating}}},
-		Bans: []Ban{{"b2", "h2", Span{From: 2000 * ms}}},
+		Lists: []standin.SentList{{View: "b1", SentAt: 2000 * ms, Phases: map[string]string{"h1": standin.Terminating}}},
+		Bans:  []Ban{{"b2", "h2", Span{From: 2000 * ms}}},
 	}
 }
 
@@ -45,47 +45,47 @@
 	if all := kept().Check(); len(all) > 0 {
 		t.Fatalf("the history that keeps all: %v", all)
 	}
-	run := func(r *Record, x standin.ReceivedPush) { r.Runs = append(r.Runs, x) }
+	run := func(r *History, x standin.ReceivedPush) { r.Pushes = append(r.Pushes, x) }
 	for _, c := range []struct {
 		rule, name string
-		spoil      func(r *Record)
+		spoil      func(r *History)
 	}{
-		{"answers", "no answer", func(r *Record) { r.Calls[0].Answer, r.Calls[0].Done = Silent, 900*ms }},
-		{"answers", "the connection ended", func(r *Record) { r.Calls[0].Answer = Cut }},
-		{"answers", "late", func(r *Record) { r.Calls[3].Done = 1400 * ms }},
-		{"answers", "two answers", func(r *Record) { r.Calls[0].Again = 1 }},
-		{"answers", "another write's receipt", func(r *Record) { r.Calls[1].Text = "receipt-w2" }},
-		{"answers", "another op's answer", func(r *Record) { r.Calls[4].Text = "answer of another op: VA 1 Ox" }},
-		{"answers", "lost long before the balancer ended", func(r *Record) { r.Calls[5].Sent = 3000 * ms }},
-		{"answers", "its connection ended though it had been pushed", func(r *Record) {
-			r.Calls[4] = Call{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 505 * ms, Answer: Cut, Crossed: true}
+		{"answers", "no answer", func(r *History) { r.Calls[0].Outcome, r.Calls[0].Done = TimedOut, 900*ms }},
+		{"answers", "the connection ended", func(r *History) { r.Calls[0].Outcome = Disconnected }},
+		{"answers", "late", func(r *History) { r.Calls[3].Done = 1400 * ms }},
+		{"answers", "two answers", func(r *History) { r.Calls[0].ExtraAnswers = 1 }},
+		{"answers", "another write's receipt", func(r *History) { r.Calls[1].Text = "receipt-w2" }},
+		{"answers", "another op's answer", func(r *History) { r.Calls[4].Text = "answer of another op: VA 1 Ox" }},
+		{"answers", "lost long before the balancer ended", func(r *History) { r.Calls[5].Sent = 3000 * ms }},
+		{"answers", "its connection ended though it had been pushed", func(r *History) {
+			r.Calls[4] = Call{ID: "o2", Key: "k", Category: "once", Write: true, Sent: 500 * ms, Done: 505 * ms, Outcome: Disconnected, ClosedInTransit: true}
 		}},
-		{"moot", "pushed after the TTL", func(r *Record) {
+		{"moot", "pushed after the TTL", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 800 * ms})
 		}},
-		{"deadlines", "told the client's own time long after it was sent", func(r *Record) {
+		{"deadlines", "told the client's own time long after it was sent", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "origin", ClientIP: "s1", OpID: "r1", Category: "read", ReceivedAt: 400 * ms, Deadline: 400*ms + ttl})
 		}},
-		{"effects", "ran twice", func(r *Record) {
+		{"effects", "ran twice", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "o2", Category: "once", ReceivedAt: 520 * ms, Executed: true})
 		}},
-		{"effects", "ran and was nacked", func(r *Record) {
+		{"effects", "ran and was nacked", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s1", OpID: "o1", Category: "once", ReceivedAt: 420 * ms, Executed: true})
 		}},
-		{"window", "ran again too late", func(r *Record) {
+		{"window", "ran again too late", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "origin", ClientIP: "s1", OpID: "w1", Category: "put", ReceivedAt: 700 * ms, Executed: true})
 		}},
-		{"drains", "pushed to a draining host", func(r *Record) {
+		{"drains", "pushed to a draining host", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h1", ClientIP: "s1", OpID: "x", ReceivedAt: 3200 * ms})
 		}},
-		{"drains", "pushed to a banned host", func(r *Record) {
+		{"drains", "pushed to a banned host", func(r *History) {
 			run(r, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 3200 * ms})
 		}},
-		{"cold", "pushed over", func(r *Record) { r.Runs[4].CausedCrash = true }},
-		{"values", "read what was written before", func(r *Record) { r.Calls[2].Text = "k unwritten" }},
-		{"values", "read what nobody wrote", func(r *Record) { r.Calls[2].Text = "k w9" }},
-		{"values", "read another key's value", func(r *Record) { r.Calls[2].Text = "j w1" }},
-		{"crashes", "ended by itself", func(r *Record) { r.Balancers[0].Crash = "panic: x" }},
+		{"cold", "pushed over", func(r *History) { r.Pushes[4].CausedCrash = true }},
+		{"values", "read what was written before", func(r *History) { r.Calls[2].Text = "k unwritten" }},
+		{"values", "read what nobody wrote", func(r *History) { r.Calls[2].Text = "k w9" }},
+		{"values", "read another key's value", func(r *History) { r.Calls[2].Text = "j w1" }},
+		{"crashes", "ended by itself", func(r *History) { r.Balancers[0].Crash = "panic: x" }},
 	} {
 		r := kept()
 		c.spoil(r)
@@ -98,31 +98,31 @@
 
 // What a balancer could not help is not held against it.
 func TestNotHeldAgainst(t *testing.T) {
-	for name, change := range map[string]func(r *Record){
-		"told while it stood still": func(r *Record) {
-			r.Told = append(r.Told, standin.SentList{View: "b3", SentAt: 5100 * ms, Phases: map[string]string{"h3": standin.Terminated}})
-			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "h3", ClientIP: "s3", OpID: "x", ReceivedAt: 6500 * ms})
+	for name, change := range map[string]func(r *History){
+		"told while it stood still": func(r *History) {
+			r.Lists = append(r.Lists, standin.SentList{View: "b3", SentAt: 5100 * ms, Phases: map[string]string{"h3": standin.Terminated}})
+			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "h3", ClientIP: "s3", OpID: "x", ReceivedAt: 6500 * ms})
 		},
-		"a ban that its process did not outlive": func(r *Record) {
-			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 9000 * ms})
+		"a ban that its process did not outlive": func(r *History) {
+			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "h2", ClientIP: "s2", OpID: "x", ReceivedAt: 9000 * ms})
 		},
-		"back in service": func(r *Record) {
-			r.Told = append(r.Told, standin.SentList{View: "b1", SentAt: 2500 * ms, Phases: map[string]string{"h1": standin.InService}})
-			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "h1", ClientIP: "s1", OpID: "x", ReceivedAt: 3600 * ms})
+		"back in service": func(r *History) {
+			r.Lists = append(r.Lists, standin.SentList{View: "b1", SentAt: 2500 * ms, Phases: map[string]string{"h1": standin.InService}})
+			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "h1", ClientIP: "s1", OpID: "x", ReceivedAt: 3600 * ms})
 		},
-		"a write that was pushed by a balancer that was then killed, and sent once more": func(r *Record) {
+		"a write that was pushed by a balancer that was then killed, and sent once more": func(r *History) {
 			r.Calls = append(r.Calls, Call{ID: "w2", Key: "k", Category: "put", Write: true, Balancer: 1, Sent: 4990 * ms,
-				Done: 4995 * ms, Answer: Cut, Crossed: true},
-				Call{ID: "r3", Key: "k", Category: "read", Sent: 6600 * ms, Done: 6610 * ms, Answer: Acked, Text: "k w2"})
-			r.Runs = append(r.Runs, standin.ReceivedPush{Host: "origin", ClientIP: "s2", OpID: "w2", Key: "k", Category: "put", Write: true,
+				Done: 4995 * ms, Outcome: Disconnected, ClosedInTransit: true},
+				Call{ID: "r3", Key: "k", Category: "read", Sent: 6600 * ms, Done: 6610 * ms, Outcome: Acked, Text: "k w2"})
+			r.Pushes = append(r.Pushes, standin.ReceivedPush{Host: "origin", ClientIP: "s2", OpID: "w2", Key: "k", Category: "put", Write: true,
 				ReceivedAt: 4991 * ms, Executed: true})
 		},
-		"a connection that was closed as a command crossed": func(r *Record) {
-			r.Calls = append(r.Calls, Call{ID: "r4", Key: "k", Category: "read", Sent: 320 * ms, Done: 325 * ms, Answer: Cut, Crossed: true})
+		"a connection that was closed as a command crossed": func(r *History) {
+			r.Calls = append(r.Calls, Call{ID: "r4", Key: "k", Category: "read", Sent: 320 * ms, Done: 325 * ms, Outcome: Disconnected, ClosedInTransit: true})
 		},
-		"an op of a balancer that stood still": func(r *Record) {
-			r.Calls[0] = Call{ID: "r1", Key: "k", Category: "read", Balancer: 2, Sent: 4900 * ms, Done: 6100 * ms, Answer: Silent}
-			r.Runs[0].ClientIP, r.Runs[0].ReceivedAt = "s3", 6050*ms
+		"an op of a balancer that stood still": func(r *History) {
+			r.Calls[0] = Call{ID: "r1", Key: "k", Category: "read", Balancer: 2, Sent: 4900 * ms, Done: 6100 * ms, Outcome: TimedOut}
+			r.Pushes[0].ClientIP, r.Pushes[0].ReceivedAt = "s3", 6050*ms
 		},
 	} {
 		r := kept()
@@ -134,12 +134,12 @@
 }
 
 // A table for people names each break in words.
-func ExampleResult_Rules() {
+func ExampleResult_BrokenRules() {
 	r := kept()
-	r.Calls[0].Again = 1
+	r.Calls[0].ExtraAnswers = 1
 	r.Balancers[1].Crash = "fatal error: x"
-	x := Result{Breaks: r.Check()}
-	fmt.Println(x.Rules())
+	x := Result{Violations: r.Check()}
+	fmt.Println(x.BrokenRules())
 	// Output:
 	// [answers crashes]
 }
--- a/internal/trial/cluster.go
+++ b/internal/trial/cluster.go
@@ -47,7 +47,7 @@
 	Program string   // path of the program under trial
 	Args    []string // of a balancer
 	Env     []string // further environment of a balancer
-	Say     func(form string, a ...any)
+	Logf    func(form string, a ...any)
 
 	plan      Plan
 	dir       string
@@ -77,10 +77,10 @@
 	if err := p.check([]int{0, 0}); err != nil {
 		return nil, err
 	}
-	if c.Say == nil {
-		c.Say = func(string, ...any) {}
+	if c.Logf == nil {
+		c.Logf = func(string, ...any) {}
 	}
-	*c = Cluster{Program: c.Program, Args: c.Args, Env: c.Env, Say: c.Say, plan: p}
+	*c = Cluster{Program: c.Program, Args: c.Args, Env: c.Env, Logf: c.Logf, plan: p}
 	defer c.end()
 	if err := c.start(); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 		defer both.Done()
 		c.injectAll(ctx, began)
 	}()
-	err := l.run(ctx, began, func(at time.Duration, sent int) { c.Say("%4.0f s  %d ops\n", at.Seconds(), sent) })
+	err := l.run(ctx, began, func(at time.Duration, sent int) { c.Logf("%4.0f s  %d ops\n", at.Seconds(), sent) })
 	both.Wait()
 	if err != nil {
 		return nil, err
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -82,8 +82,8 @@
 // spoils are the ways in which a process's files may fail (package machine).
 var spoils = []string{"write", "sync", "rename", "full", "hang", "torn"}
 
-// Kinds is a table of all kinds of fault, for people.
-func Kinds() string {
+// FaultTable is a table of all kinds of fault, for people.
+func FaultTable() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
 		k := kinds[name]
@@ -98,17 +98,17 @@
 
 // targets are the parts that a fault is injected into; for links the balancers and the parts.
 func (x Fault) targets(f Fleet) (of, to []string, err error) {
-	k := kinds[x.What]
+	k := kinds[x.Kind]
 	switch k.where {
 	case balancers:
-		of, err = f.parts(x.Of, f.balancers())
+		of, err = f.parts(x.Parts, f.balancers())
 	case hosts:
-		of, err = f.parts(x.Of, f.hosts())
+		of, err = f.parts(x.Parts, f.hosts())
 	case servers:
-		of, err = f.parts(x.Of, append(f.hosts(), standin.OriginID))
+		of, err = f.parts(x.Parts, append(f.hosts(), standin.OriginID))
 	case lists:
-		if len(x.Of) > 0 {
-			of, err = f.parts(x.Of, []string{discovery})
+		if len(x.Parts) > 0 {
+			of, err = f.parts(x.Parts, []string{discovery})
 		}
 		return of, nil, err
 	case links:
@@ -133,9 +133,9 @@
 
 // check names what is wrong with a fault.
 func (x Fault) check(p Plan) (all []error) {
-	k, known := kinds[x.What]
+	k, known := kinds[x.Kind]
 	if !known {
-		return []error{fmt.Errorf("what: %.40q, want one of %s", x.What, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))}
+		return []error{fmt.Errorf("what: %.40q, want one of %s", x.Kind, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))}
 	}
 	bad := func(there bool, form string, a ...any) {
 		if there {
@@ -143,18 +143,18 @@
 		}
 	}
 	_, _, err := x.targets(p.Fleet)
-	bad(err != nil, "%s: %v", x.What, err)
-	bad(k.where != links && len(x.From)+len(x.To) > 0, "%s: applies to %v, which of names; from and to are for links", x.What, k.where)
-	bad(k.where == links && len(x.Of) > 0, "%s: applies to links, which from and to name", x.What)
-	bad(!k.instant && x.For <= 0, "%s: for: missing", x.What)
-	bad(k.instant && x.For > 0, "%s: for: it has no end", x.What)
-	bad(x.At+x.For > p.Load.For, "%s: ends at %v, after the load, which lasts %v", x.What, (x.At + x.For).d(), p.Load.For.d())
+	bad(err != nil, "%s: %v", x.Kind, err)
+	bad(k.where != links && len(x.From)+len(x.To) > 0, "%s: applies to %v, which of names; from and to are for links", x.Kind, k.where)
+	bad(k.where == links && len(x.Parts) > 0, "%s: applies to links, which from and to name", x.Kind)
+	bad(!k.instant && x.Duration <= 0, "%s: for: missing", x.Kind)
+	bad(k.instant && x.Duration > 0, "%s: for: it has no end", x.Kind)
+	bad(x.At+x.Duration > p.Load.Duration, "%s: ends at %v, after the load, which lasts %v", x.Kind, (x.At + x.Duration).d(), p.Load.Duration.d())
 	bad(x.Direction != "" && (k.where != links || !slices.Contains([]string{"out", "back", "both"}, x.Direction)),
-		"%s: way: %.20q, want out, back or both, and that of links", x.What, x.Direction)
-	bad(x.With != "" && x.What != "upgrade", "%s: with: it takes none", x.What)
-	bad(k.by == none && x.By != "", "%s: by: %.20q, it takes none", x.What, x.By)
+		"%s: way: %.20q, want out, back or both, and that of links", x.Kind, x.Direction)
+	bad(x.Program != "" && x.Kind != "upgrade", "%s: with: it takes none", x.Kind)
+	bad(k.by == none && x.Magnitude != "", "%s: by: %.20q, it takes none", x.Kind, x.Magnitude)
 	if k.by != none {
-		n, err := x.By.number()
+		n, err := x.Magnitude.number()
 		ok := err == nil
 		switch k.by {
 		case part:
@@ -164,15 +164,15 @@
 		case count, rate:
 			ok = ok && n >= 1 && n <= 1e9
 		case span:
-			_, err := time.ParseDuration(string(x.By))
+			_, err := time.ParseDuration(string(x.Magnitude))
 			ok = ok && err == nil && n >= 0 && n <= 60000
 		case jump:
-			_, err := time.ParseDuration(string(x.By))
+			_, err := time.ParseDuration(string(x.Magnitude))
 			ok = ok && err == nil
 		case word:
-			ok = slices.Contains(spoils, string(x.By))
+			ok = slices.Contains(spoils, string(x.Magnitude))
 		}
-		bad(!ok, "%s: by: %.20q, want %s", x.What, x.By, [...]string{"", "a part above 0, at most 1", "a factor above 1, at most 1000",
+		bad(!ok, "%s: by: %.20q, want %s", x.Kind, x.Magnitude, [...]string{"", "a part above 0, at most 1", "a factor above 1, at most 1000",
 			"a count, 1 or more", "a time, at most 60s", "bytes a second, 1 or more", "a time", "one of " + strings.Join(spoils, ", ")}[k.by])
 	}
 	return all
@@ -180,17 +180,17 @@
 
 // String is a fault in a line.
 func (x Fault) String() string {
-	text := fmt.Sprintf("%6.2fs %s", x.At.d().Seconds(), x.What)
-	if x.By != "" {
-		text += " " + string(x.By)
+	text := fmt.Sprintf("%6.2fs %s", x.At.d().Seconds(), x.Kind)
+	if x.Magnitude != "" {
+		text += " " + string(x.Magnitude)
 	}
 	if len(x.From) > 0 {
 		text += " " + strings.Join(x.From, ",") + " to " + strings.Join(x.To, ",") + " " + cmp.Or(x.Direction, "both")
-	} else if len(x.Of) > 0 {
-		text += " " + strings.Join(x.Of, ",")
+	} else if len(x.Parts) > 0 {
+		text += " " + strings.Join(x.Parts, ",")
 	}
-	if x.For > 0 {
-		text += " for " + x.For.d().String()
+	if x.Duration > 0 {
+		text += " for " + x.Duration.d().String()
 	}
 	return text
 }
@@ -203,31 +203,31 @@
 }
 
 // drawn is a By for each unit and kind, between mild and bad.
-func drawn(rng *rand.Rand, name string) By {
+func drawn(rng *rand.Rand, name string) Magnitude {
 	between := func(least, most float64) float64 { return least + (most-least)*rng.Float64() }
 	switch k := kinds[name]; {
 	case k.by == part:
-		return By(strconv.FormatFloat(between(0.1, 0.9), 'f', 2, 64))
+		return Magnitude(strconv.FormatFloat(between(0.1, 0.9), 'f', 2, 64))
 	case k.by == factor:
-		return By(strconv.FormatFloat(between(3, 40), 'f', 0, 64))
+		return Magnitude(strconv.FormatFloat(between(3, 40), 'f', 0, 64))
 	case name == "table":
-		return By(strconv.Itoa(1 + rng.IntN(8)))
+		return Magnitude(strconv.Itoa(1 + rng.IntN(8)))
 	case name == "sever":
-		return By(strconv.Itoa(100 + rng.IntN(20000)))
+		return Magnitude(strconv.Itoa(100 + rng.IntN(20000)))
 	case k.by == rate:
-		return By(strconv.Itoa(2000 + rng.IntN(50000)))
+		return Magnitude(strconv.Itoa(2000 + rng.IntN(50000)))
 	case name == "late":
-		return By(time.Duration(between(200, 2500) * float64(time.Millisecond)).Round(time.Millisecond).String())
+		return Magnitude(time.Duration(between(200, 2500) * float64(time.Millisecond)).Round(time.Millisecond).String())
 	case k.by == span:
-		return By(time.Duration(between(5, 150) * float64(time.Millisecond)).Round(time.Millisecond).String())
+		return Magnitude(time.Duration(between(5, 150) * float64(time.Millisecond)).Round(time.Millisecond).String())
 	}
 	return ""
 }
 
-// Draw draws a plan from a seed: two faults at once at the least, on the usual fleet.
-func Draw(seed uint64) Plan {
+// RandomPlan draws a plan from a seed: two faults at once at the least, on the usual fleet.
+func RandomPlan(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	p := Usual()
+	p := DefaultPlan()
 	p.Name, p.Seed = fmt.Sprintf("drawn %d", seed), seed
 	p.Load.Rate = float64(100 + rng.IntN(400))
 	names := slices.Sorted(maps.Keys(kinds))
@@ -243,7 +243,7 @@
 		return all
 	}
 	// All overlap at the middle: each begins before it and ends after it.
-	half := p.Load.For.d() / 2
+	half := p.Load.Duration.d() / 2
 	for range 2 + rng.IntN(3) {
 		at := rng.Float64() * sum
 		name := names[len(names)-1]
@@ -255,17 +255,17 @@
 		}
 		k := kinds[name]
 		begin := half/4 + time.Duration(rng.Int64N(int64(half/2)))
-		x := Fault{At: For(begin.Round(time.Millisecond)), What: name, By: drawn(rng, name)}
+		x := Fault{At: Duration(begin.Round(time.Millisecond)), Kind: name, Magnitude: drawn(rng, name)}
 		if !k.instant {
-			x.For = For((half - begin + half/8 + time.Duration(rng.Int64N(int64(half/2)))).Round(time.Millisecond))
+			x.Duration = Duration((half - begin + half/8 + time.Duration(rng.Int64N(int64(half/2)))).Round(time.Millisecond))
 		}
 		switch k.where {
 		case balancers:
-			x.Of = pick(p.Fleet.balancers(), 1)
+			x.Parts = pick(p.Fleet.balancers(), 1)
 		case hosts:
-			x.Of = pick(p.Fleet.hosts(), 2)
+			x.Parts = pick(p.Fleet.hosts(), 2)
 		case servers:
-			x.Of = pick(append(p.Fleet.hosts(), standin.OriginID), 2)
+			x.Parts = pick(append(p.Fleet.hosts(), standin.OriginID), 2)
 		case links:
 			x.From = pick(p.Fleet.balancers(), 2)
 			x.To = pick(append(p.Fleet.hosts(), standin.OriginID, discovery), 3)
--- a/internal/trial/inject.go
+++ b/internal/trial/inject.go
@@ -25,8 +25,8 @@
 func (p Plan) moments() (all []moment) {
 	for _, x := range p.ordered() {
 		all = append(all, moment{x.At.d(), x, false})
-		if x.For > 0 {
-			all = append(all, moment{(x.At + x.For).d(), x, true})
+		if x.Duration > 0 {
+			all = append(all, moment{(x.At + x.Duration).d(), x, true})
 		}
 	}
 	slices.SortStableFunc(all, func(x, y moment) int {
@@ -61,13 +61,13 @@
 		c.mu.Lock()
 		c.injected = append(c.injected, text)
 		c.mu.Unlock()
-		c.Say("%s\n", text)
-		k := kinds[m.fault.What]
-		if k.where != balancers && m.fault.What != "ban" {
+		c.Logf("%s\n", text)
+		k := kinds[m.fault.Kind]
+		if k.where != balancers && m.fault.Kind != "ban" {
 			c.failed(c.inject(m.fault, m.end, began))
 			continue
 		}
-		lane := strings.Join(m.fault.Of, ",")
+		lane := strings.Join(m.fault.Parts, ",")
 		before, done := lanes[lane], make(chan struct{})
 		lanes[lane] = done
 		slow.Add(1)
@@ -96,18 +96,18 @@
 	if err != nil {
 		return err
 	}
-	switch kinds[x.What].where {
+	switch kinds[x.Kind].where {
 	case balancers:
 		return each(of, func(name string) error { return c.injectProcessFault(x, name, end) })
 	case hosts, servers:
 		return each(of, func(name string) error { return c.injectServerFault(x, name, end) })
 	case lists:
-		if x.What == "silent" {
+		if x.Kind == "silent" {
 			c.fleet.Discovery.SetSilent(!end)
 			return nil
 		}
 		late := time.Duration(0)
-		if ms, err := x.By.number(); !end && err == nil {
+		if ms, err := x.Magnitude.number(); !end && err == nil {
 			late = time.Duration(ms * float64(time.Millisecond))
 		}
 		c.fleet.Discovery.SetDelay(late)
@@ -132,38 +132,38 @@
 	i := place(name)
 	p := c.processes[i]
 	switch {
-	case x.What == "disk" && end:
+	case x.Kind == "disk" && end:
 		return p.spoil("disk well")
-	case x.What == "disk":
-		return p.spoil("disk " + string(x.By))
-	case x.What == "clock" && end:
+	case x.Kind == "disk":
+		return p.spoil("disk " + string(x.Magnitude))
+	case x.Kind == "clock" && end:
 		return p.spoil("clock 0s")
-	case x.What == "clock":
-		return p.spoil("clock " + string(x.By))
-	case x.What == "freeze" && end:
+	case x.Kind == "clock":
+		return p.spoil("clock " + string(x.Magnitude))
+	case x.Kind == "freeze" && end:
 		return p.Thaw()
 	case end:
 		return c.launch(i, func() error { return c.rewrite(i) })
-	case x.What == "kill":
+	case x.Kind == "kill":
 		return p.Kill()
-	case x.What == "term":
-		return p.Term()
-	case x.What == "wipe":
-		return errors.Join(p.Kill(), p.Empty())
-	case x.What == "freeze":
+	case x.Kind == "term":
+		return p.Terminate()
+	case x.Kind == "wipe":
+		return errors.Join(p.Kill(), p.ClearDir())
+	case x.Kind == "freeze":
 		return p.Freeze()
 	}
 	program := c.Program // upgrade
-	if x.With != "" {
-		program = x.With
+	if x.Program != "" {
+		program = x.Program
 	}
 	return p.replace(func() error { return c.rewrite(i) }, program, c.Args...)
 }
 
 func (c *Cluster) injectServerFault(x Fault, name string, end bool) error {
 	var mode standin.FaultMode
-	if by, _ := x.By.number(); !end { // a plan's figures are checked before it is played
-		switch x.What {
+	if by, _ := x.Magnitude.number(); !end { // a plan's figures are checked before it is played
+		switch x.Kind {
 		case "hang":
 			mode.Hang = true
 		case "slow":
@@ -182,7 +182,7 @@
 	}
 	h := c.fleet.Hosts()[place(name)]
 	lists := c.fleet.Discovery
-	switch x.What {
+	switch x.Kind {
 	case "die":
 		if !end {
 			h.Kill()
@@ -224,7 +224,7 @@
 	}
 	status, text, err := call(admin, "POST", path, host)
 	if err != nil || status != 200 {
-		c.Say("        %s %s at %s: %d %s %v\n", path, host, balancer, status, text, err)
+		c.Logf("        %s %s at %s: %d %s %v\n", path, host, balancer, status, text, err)
 		return nil
 	}
 	if !end {
@@ -246,32 +246,32 @@
 }
 
 func (c *Cluster) injectLinkFault(x Fault, l *Link, end bool) {
-	switch x.What {
+	switch x.Kind {
 	case "cut":
-		l.Cut(!end)
+		l.SetCut(!end)
 		return
 	case "single":
-		l.Single(!end)
+		l.SetSingle(!end)
 		return
 	}
 	var f Impairment
-	if by, _ := x.By.number(); !end {
-		switch x.What {
+	if by, _ := x.Magnitude.number(); !end {
+		switch x.Kind {
 		case "hole":
-			f.Hole = true
+			f.Blackhole = true
 		case "delay":
 			f.Delay = time.Duration(by * float64(time.Millisecond))
 			f.Jitter = f.Delay / 2
 		case "rate":
 			f.Rate = by
 		case "sever":
-			f.Sever = int(by)
+			f.ResetAfter = int(by)
 		}
 	}
 	if x.Direction != "back" {
-		l.Set(Out, f)
+		l.SetImpairment(Out, f)
 	}
 	if x.Direction != "out" {
-		l.Set(Back, f)
+		l.SetImpairment(Back, f)
 	}
 }
--- a/internal/trial/link.go
+++ b/internal/trial/link.go
@@ -26,11 +26,11 @@
 
 // Impairment is what is wrong with a direction of a link. The zero Impairment is nothing.
 type Impairment struct {
-	Hole   bool          // bytes are taken and never passed on; connections are reset once it is over
-	Delay  time.Duration // each byte is so late
-	Jitter time.Duration // and at most so much later still, in their order
-	Rate   float64       // bytes a second; 0: as many as come
-	Sever  int           // once this many bytes more have passed the connection is reset amid them; 0: never
+	Blackhole  bool          // bytes are taken and never passed on; connections are reset once it is over
+	Delay      time.Duration // each byte is so late
+	Jitter     time.Duration // and at most so much later still, in their order
+	Rate       float64       // bytes a second; 0: as many as come
+	ResetAfter int           // once this many bytes more have passed the connection is reset amid them; 0: never
 }
 
 // Link is the way from one balancer to one part: a relay of its own, so that each can fail by itself. Cut, it resets what
@@ -83,8 +83,8 @@
 // Address is what the balancer is told as the part's.
 func (l *Link) Address() string { return l.address }
 
-// Cut resets all connections and refuses new ones while it is on.
-func (l *Link) Cut(on bool) {
+// SetCut resets all connections and refuses new ones while it is on.
+func (l *Link) SetCut(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut = on; on {
@@ -95,22 +95,22 @@
 	l.changed()
 }
 
-// Single has a second connection refused while one is open.
-func (l *Link) Single(on bool) {
+// SetSingle has a second connection refused while one is open.
+func (l *Link) SetSingle(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.single = on
 }
 
-// Set changes what is wrong with a direction. The end of a hole resets what has lost bytes in it.
-func (l *Link) Set(w Direction, f Impairment) {
+// SetImpairment changes what is wrong with a direction. The end of a hole resets what has lost bytes in it.
+func (l *Link) SetImpairment(w Direction, f Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	was := l.impairments[w]
 	l.impairments[w] = f
 	for j := range l.connections {
-		j.left[w] = f.Sever
-		if was.Hole && !f.Hole && j.tainted {
+		j.left[w] = f.ResetAfter
+		if was.Blackhole && !f.Blackhole && j.tainted {
 			j.reset()
 		}
 	}
@@ -155,7 +155,7 @@
 	for waited := false; ; waited = true {
 		l.mu.Lock()
 		refused := l.cut || l.ended || l.single && len(l.connections) > 0
-		hole, change := l.impairments[Out].Hole || l.impairments[Back].Hole, l.change
+		hole, change := l.impairments[Out].Blackhole || l.impairments[Back].Blackhole, l.change
 		l.mu.Unlock()
 		if refused || waited && !hole {
 			j.reset()
@@ -180,7 +180,7 @@
 		return
 	}
 	for w := range j.left {
-		j.left[w] = l.impairments[w].Sever
+		j.left[w] = l.impairments[w].ResetAfter
 	}
 	l.connections[j] = true
 	l.mu.Unlock()
@@ -221,11 +221,11 @@
 			if f.Jitter > 0 {
 				late += time.Duration(l.rng.Int64N(int64(f.Jitter)))
 			}
-			if f.Hole {
+			if f.Blackhole {
 				j.tainted = true
 			}
 			l.mu.Unlock()
-			if !f.Hole {
+			if !f.Blackhole {
 				due := time.Now().Add(late)
 				if due.Before(last) {
 					due = last
@@ -257,7 +257,7 @@
 		}
 		l.mu.Lock()
 		rate, severed := l.impairments[w].Rate, false
-		if hole := l.impairments[w].Hole; hole { // what was on its way is lost with it
+		if hole := l.impairments[w].Blackhole; hole { // what was on its way is lost with it
 			j.tainted = true
 			l.mu.Unlock()
 			continue
--- a/internal/trial/link_test.go
+++ b/internal/trial/link_test.go
@@ -84,11 +84,11 @@
 // A cut resets what there is, also while bytes of an answer are held, and refuses what is new until it is over.
 func TestCutAmidAnAnswer(t *testing.T) {
 	l, dial := behind(t, 1000)
-	l.Set(Back, Impairment{Delay: time.Hour})
+	l.SetImpairment(Back, Impairment{Delay: time.Hour})
 	c := dial()
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		l.Cut(true)
+		l.SetCut(true)
 	}()
 	if n, _, err := ask(c, 1000); n > 0 || !isReset(err) {
 		t.Fatalf("a cut: %d bytes, %v", n, err)
@@ -96,8 +96,8 @@
 	if !refuses(l) {
 		t.Fatal("taken while it is cut")
 	}
-	l.Set(Back, Impairment{})
-	l.Cut(false)
+	l.SetImpairment(Back, Impairment{})
+	l.SetCut(false)
 	if n, _, err := ask(dial(), 1000); err != nil {
 		t.Fatal("after it:", n, err)
 	}
@@ -109,10 +109,10 @@
 		l, dial := behind(t, 10)
 		c := dial()
 		ask(c, 10)
-		l.Set(w, Impairment{Hole: true})
+		l.SetImpairment(w, Impairment{Blackhole: true})
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			l.Set(w, Impairment{})
+			l.SetImpairment(w, Impairment{})
 		}()
 		if n, took, err := ask(c, 10); n > 0 || !isReset(err) || took < 100*time.Millisecond {
 			t.Fatalf("way %d: %d bytes after %v, %v", w, n, took, err)
@@ -120,11 +120,11 @@
 		if n, _, err := ask(dial(), 10); err != nil {
 			t.Fatalf("way %d after it: %d %v", w, n, err)
 		}
-		l.Set(w, Impairment{Hole: true})
+		l.SetImpairment(w, Impairment{Blackhole: true})
 		asked := dial()
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			l.Set(w, Impairment{})
+			l.SetImpairment(w, Impairment{})
 		}()
 		if n, _, err := ask(asked, 10); n > 0 || !isReset(err) {
 			t.Fatalf("way %d, asked for in the hole: %d bytes, %v", w, n, err)
@@ -134,16 +134,16 @@
 
 func TestDelayRateAndSever(t *testing.T) {
 	l, dial := behind(t, 1000)
-	l.Set(Out, Impairment{Delay: 60 * time.Millisecond, Jitter: 10 * time.Millisecond})
+	l.SetImpairment(Out, Impairment{Delay: 60 * time.Millisecond, Jitter: 10 * time.Millisecond})
 	if n, took, err := ask(dial(), 1000); err != nil || took < 60*time.Millisecond {
 		t.Fatal("delay:", n, took, err)
 	}
-	l.Set(Out, Impairment{})
-	l.Set(Back, Impairment{Rate: 10000})
+	l.SetImpairment(Out, Impairment{})
+	l.SetImpairment(Back, Impairment{Rate: 10000})
 	if n, took, err := ask(dial(), 1000); err != nil || took < 100*time.Millisecond {
 		t.Fatal("rate:", n, took, err)
 	}
-	l.Set(Back, Impairment{Sever: 700})
+	l.SetImpairment(Back, Impairment{ResetAfter: 700})
 	if n, _, err := ask(dial(), 1000); n != 700 || !isReset(err) {
 		t.Fatal("sever:", n, err)
 	}
@@ -151,7 +151,7 @@
 
 func TestSingle(t *testing.T) {
 	l, dial := behind(t, 10)
-	l.Single(true)
+	l.SetSingle(true)
 	ask(dial(), 10)
 	if !refuses(l) {
 		t.Fatal("a second one is taken")
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -27,31 +27,31 @@
 )
 
 // Result of an op, as its client saw it.
-type Answer string
+type Outcome string
 
 const (
-	Acked   Answer = "acked"
-	Nacked  Answer = "nacked"  // with the word that a repeat is safe
-	Failed  Answer = "failed"  // any other answer
-	Cut     Answer = "cut"     // its connection ended with no whole answer
-	Silent  Answer = "silent"  // none within its time
-	Untaken Answer = "untaken" // no balancer took it
+	Acked        Outcome = "acked"
+	Nacked       Outcome = "nacked"  // with the word that a repeat is safe
+	Failed       Outcome = "failed"  // any other answer
+	Disconnected Outcome = "cut"     // its connection ended with no whole answer
+	TimedOut     Outcome = "silent"  // none within its time
+	NotAccepted  Outcome = "untaken" // no balancer took it
 )
 
 // Call is an op, as its client saw it. Times are since the fleet's start.
 type Call struct {
-	ID       string
-	Key      string
-	Category string
-	Write    bool
-	Balancer int           // by its number from 0, -1 where none took it
-	Due      time.Duration // when it was to be sent
-	Sent     time.Duration // when its last byte was written
-	Done     time.Duration
-	Answer   Answer
-	Text     string // of the answer: what was read, or its first line
-	Again    int    // further answers, or bytes of none
-	Crossed  bool   // its connection was closed as the command crossed, and it was sent once more, as another op
+	ID              string
+	Key             string
+	Category        string
+	Write           bool
+	Balancer        int           // by its number from 0, -1 where none took it
+	Due             time.Duration // when it was to be sent
+	Sent            time.Duration // when its last byte was written
+	Done            time.Duration
+	Outcome         Outcome
+	Text            string // of the answer: what was read, or its first line
+	ExtraAnswers    int    // further answers, or bytes of none
+	ClosedInTransit bool   // its connection was closed as the command crossed, and it was sent once more, as another op
 }
 
 // load sends ops at a plan's rate, whatever comes back.
@@ -93,8 +93,8 @@
 func (l *load) rate(at time.Duration) float64 {
 	rate := l.plan.Load.Rate
 	for _, b := range l.plan.Load.Bursts {
-		if at >= b.At.d() && at < (b.At+b.For).d() {
-			rate *= b.Times
+		if at >= b.At.d() && at < (b.At+b.Duration).d() {
+			rate *= b.Factor
 		}
 	}
 	return rate
@@ -104,7 +104,7 @@
 func (l *load) run(ctx context.Context, began time.Duration, tell func(at time.Duration, sent int)) error {
 	var open sync.WaitGroup
 	second := time.Second
-	end := l.plan.Load.For.d()
+	end := l.plan.Load.Duration.d()
 	for at, n := time.Duration(0), 0; ; n++ {
 		at += time.Duration(l.rng.ExpFloat64() / l.rate(at) * float64(time.Second))
 		for second <= min(at, end) {
@@ -169,11 +169,11 @@
 		}
 		kept := conn.last >= 0
 		l.talk(conn, &c)
-		if kept && c.Answer == Cut && c.Text == "" && c.Done-c.Sent < crossed {
+		if kept && c.Outcome == Disconnected && c.Text == "" && c.Done-c.Sent < crossed {
 			// The connection was closed as the command crossed: clients send it once more, on a new one.
 			conn.Close()
 			first := c
-			first.Crossed = true
+			first.ClosedInTransit = true
 			l.mu.Lock()
 			l.calls = append(l.calls, first) // it may have run all the same
 			l.mu.Unlock()
@@ -184,7 +184,7 @@
 			}
 			l.talk(conn, &c)
 		}
-		if c.Answer == Cut || c.Answer == Silent {
+		if c.Outcome == Disconnected || c.Outcome == TimedOut {
 			conn.Close()
 		} else {
 			conn.last = place
@@ -195,14 +195,14 @@
 		l.set(place, c)
 		return
 	}
-	c.Balancer, c.Answer, c.Done = -1, Untaken, l.now()
+	c.Balancer, c.Outcome, c.Done = -1, NotAccepted, l.now()
 	l.set(place, c)
 }
 
 func (l *load) set(place int, c Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.Again += l.calls[place].Again
+	c.ExtraAnswers += l.calls[place].ExtraAnswers
 	l.calls[place] = c
 }
 
@@ -230,7 +230,7 @@
 	_, err := c.r.Peek(1)
 	if err == nil {
 		l.mu.Lock()
-		l.calls[c.last].Again++
+		l.calls[c.last].ExtraAnswers++
 		l.mu.Unlock()
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -274,22 +274,22 @@
 	_, err := io.WriteString(conn, text)
 	c.Sent = l.now()
 	if err == nil {
-		c.Answer, c.Text, err = answer(conn.r, c.ID)
+		c.Outcome, c.Text, err = answer(conn.r, c.ID)
 	}
 	c.Done = l.now()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.Answer = Silent
+		c.Outcome = TimedOut
 	case err != nil:
-		c.Answer = Cut
+		c.Outcome = Disconnected
 	}
 }
 
 // answer reads an answer. One of another op is a failure, and says so.
-func answer(r *bufio.Reader, id string) (Answer, string, error) {
+func answer(r *bufio.Reader, id string) (Outcome, string, error) {
 	first, err := r.ReadString('\n')
 	if err != nil {
-		return Cut, first, err
+		return Disconnected, first, err
 	}
 	first = strings.TrimSpace(first)
 	words := strings.Fields(first)
@@ -301,7 +301,7 @@
 		}
 		body := make([]byte, n+2)
 		if _, err := io.ReadFull(r, body); err != nil {
-			return Cut, first, err
+			return Disconnected, first, err
 		}
 		if words[2] != "O"+id {
 			return Failed, "answer of another op: " + first, nil
--- a/internal/trial/many_test.go
+++ b/internal/trial/many_test.go
@@ -22,7 +22,7 @@
 	fmt.Fprintf(&text, "- {at: 2s, for: 1s, what: slow, by: 2, of: [%s]}\n", hosts)
 	fmt.Fprintf(&text, "- {at: 2s, for: 1s, what: cut, from: [all], to: [%s, origin, discovery]}\n", hosts)
 	began := time.Now()
-	p, err := Read([]byte(text.String()))
+	p, err := ParsePlan([]byte(text.String()))
 	t.Logf("%d bytes read in %v", text.Len(), time.Since(began).Round(time.Millisecond))
 	if err != nil {
 		t.Fatalf("%.400s", err)
@@ -40,7 +40,7 @@
 			t.Fatalf("%s at place %d, want %d", name, place(name), i)
 		}
 	}
-	again, err := Read([]byte(p.String()))
+	again, err := ParsePlan([]byte(p.String()))
 	if err != nil || len(again.Faults) != n+2 || len(zones(again.Fleet)) != n {
 		t.Errorf("printed and read: %d faults, %.400v", len(again.Faults), err)
 	}
@@ -95,7 +95,7 @@
 // A fleet that can't be is refused before its faults are looked at: they would be checked against its parts.
 func TestPlanOfImpossibleFleet(t *testing.T) {
 	for _, fleet := range []string{"zones: 0", "zones: -1", "hosts: 2000000000", "balancers: 2000000000"} {
-		_, err := Read([]byte("fleet: {" + fleet + "}\nfaults: [{at: 1s, for: 1s, what: kill, of: [b1]}]"))
+		_, err := ParsePlan([]byte("fleet: {" + fleet + "}\nfaults: [{at: 1s, for: 1s, what: kill, of: [b1]}]"))
 		if name, _, _ := strings.Cut(fleet, ":"); err == nil || !strings.Contains(err.Error(), "plan: line 1: fleet."+name) {
 			t.Errorf("%s: %v", fleet, err)
 		}
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -36,86 +36,86 @@
 
 // Fleet is what is started. Balancers are b1, b2 and so on, hosts h1, h2; zones z1, z2 have their parts by turns.
 type Fleet struct {
-	Balancers int `yaml:"balancers"`
-	Hosts     int `yaml:"hosts"`
-	Zones     int `yaml:"zones"`
-	Slots     int `yaml:"slots"`       // ops that a host works at
-	Work      For `yaml:"work"`        // of an op there
-	Origin    For `yaml:"origin_work"` // at the origin, which has as many slots as there are hosts
+	Balancers      int      `yaml:"balancers"`
+	Hosts          int      `yaml:"hosts"`
+	Zones          int      `yaml:"zones"`
+	Slots          int      `yaml:"slots"`       // ops that a host works at
+	WorkTime       Duration `yaml:"work"`        // of an op there
+	OriginWorkTime Duration `yaml:"origin_work"` // at the origin, which has as many slots as there are hosts
 }
 
 // Load is what clients send, whatever comes back.
 type Load struct {
-	For    For            `yaml:"for"`
-	Rate   float64        `yaml:"rate"`   // ops a second in all
-	Keys   int            `yaml:"keys"`   // that there are
-	Skew   float64        `yaml:"skew"`   // exponent of their popularity
-	Shares map[string]int `yaml:"shares"` // of the categories, to each other
-	Bursts []Burst        `yaml:"bursts,omitempty"`
+	Duration Duration       `yaml:"for"`
+	Rate     float64        `yaml:"rate"`   // ops a second in all
+	Keys     int            `yaml:"keys"`   // that there are
+	Skew     float64        `yaml:"skew"`   // exponent of their popularity
+	Shares   map[string]int `yaml:"shares"` // of the categories, to each other
+	Bursts   []Burst        `yaml:"bursts,omitempty"`
 }
 
 // Burst is a while with more load.
 type Burst struct {
-	At    For     `yaml:"at"`
-	For   For     `yaml:"for"`
-	Times float64 `yaml:"times"` // the usual rate
+	At       Duration `yaml:"at"`
+	Duration Duration `yaml:"for"`
+	Factor   float64  `yaml:"times"` // the usual rate
 }
 
 // Fault is something that goes wrong for a while. What it may be stands in the table of kinds.
 type Fault struct {
-	At        For      `yaml:"at"`
-	For       For      `yaml:"for,omitempty"`
-	What      string   `yaml:"what"`
-	Of        []string `yaml:"of,omitempty,flow"`   // parts; or
-	From      []string `yaml:"from,omitempty,flow"` // links: of these balancers
-	To        []string `yaml:"to,omitempty,flow"`   // to these parts
-	Direction string   `yaml:"way,omitempty"`       // of links: out, back, or both where it is left out
-	By        By       `yaml:"by,omitempty"`        // how much, as the kind has it
-	With      string   `yaml:"with,omitempty"`      // of an upgrade: the path of another build
+	At        Duration  `yaml:"at"`
+	Duration  Duration  `yaml:"for,omitempty"`
+	Kind      string    `yaml:"what"`
+	Parts     []string  `yaml:"of,omitempty,flow"`   // parts; or
+	From      []string  `yaml:"from,omitempty,flow"` // links: of these balancers
+	To        []string  `yaml:"to,omitempty,flow"`   // to these parts
+	Direction string    `yaml:"way,omitempty"`       // of links: out, back, or both where it is left out
+	Magnitude Magnitude `yaml:"by,omitempty"`        // how much, as the kind has it
+	Program   string    `yaml:"with,omitempty"`      // of an upgrade: the path of another build
 
 	line int // in the plan's text
 }
 
-// For is a time in a plan, written as 1.5s or 200ms.
-type For time.Duration
+// Duration is a time in a plan, written as 1.5s or 200ms.
+type Duration time.Duration
 
 // UnmarshalYAML implements yaml.Unmarshaler.
-func (f *For) UnmarshalYAML(n *yaml.Node) error {
+func (f *Duration) UnmarshalYAML(n *yaml.Node) error {
 	d, err := time.ParseDuration(n.Value)
 	if err != nil || n.Kind != yaml.ScalarNode || d < 0 {
 		return fmt.Errorf("line %d: %.40q, want a time such as 1.5s or 200ms", n.Line, n.Value)
 	}
-	*f = For(d)
+	*f = Duration(d)
 	return nil
 }
 
 // MarshalYAML implements yaml.Marshaler.
-func (f For) MarshalYAML() (any, error) { return time.Duration(f).String(), nil }
+func (f Duration) MarshalYAML() (any, error) { return time.Duration(f).String(), nil }
 
-func (f For) d() time.Duration { return time.Duration(f) }
+func (f Duration) d() time.Duration { return time.Duration(f) }
 
-// By is how much, in the unit of its kind of fault: a part, a factor, a count or a time.
-type By string
+// Magnitude is how much, in the unit of its kind of fault: a part, a factor, a count or a time.
+type Magnitude string
 
 // number is By as a number; a time is in ms.
-func (b By) number() (float64, error) {
+func (b Magnitude) number() (float64, error) {
 	if d, err := time.ParseDuration(string(b)); err == nil {
 		return float64(d) / float64(time.Millisecond), nil
 	}
 	return strconv.ParseFloat(string(b), 64)
 }
 
-// Usual is the plan that a text fills in: three balancers, six hosts, 300 ops a second for 5 s.
-func Usual() Plan {
+// DefaultPlan is the plan that a text fills in: three balancers, six hosts, 300 ops a second for 5 s.
+func DefaultPlan() Plan {
 	return Plan{Name: "a trial", Seed: 1,
-		Fleet: Fleet{Balancers: 3, Hosts: 6, Zones: 2, Slots: 4, Work: For(2 * time.Millisecond), Origin: For(8 * time.Millisecond)},
-		Load: Load{For: For(5 * time.Second), Rate: 300, Keys: 400, Skew: 1,
+		Fleet: Fleet{Balancers: 3, Hosts: 6, Zones: 2, Slots: 4, WorkTime: Duration(2 * time.Millisecond), OriginWorkTime: Duration(8 * time.Millisecond)},
+		Load: Load{Duration: Duration(5 * time.Second), Rate: 300, Keys: 400, Skew: 1,
 			Shares: map[string]int{"read": 16, "put": 3, "once": 1}}}
 }
 
-// Read reads a plan. What the text leaves out is as in Usual. An error names every fault that was found, with its line.
-func Read(text []byte) (Plan, error) {
-	p := Usual()
+// ParsePlan reads a plan. What the text leaves out is as in Usual. An error names every fault that was found, with its line.
+func ParsePlan(text []byte) (Plan, error) {
+	p := DefaultPlan()
 	if len(text) > mostText {
 		return p, fmt.Errorf("plan: %d bytes, want %d at most", len(text), mostText)
 	}
@@ -145,7 +145,7 @@
 		return p, errors.Join(all...)
 	}
 	if p.Load.Shares == nil {
-		p.Load.Shares = Usual().Load.Shares
+		p.Load.Shares = DefaultPlan().Load.Shares
 	}
 	lines := linesOf(&root, "faults")
 	for i := range p.Faults {
@@ -204,9 +204,9 @@
 	bad(f.Zones < 1 || f.Zones > mostZones, fleet, "fleet.zones: %d, want 1 to %d", f.Zones, mostZones)
 	bad(f.Slots < 1 || f.Slots > mostSlots, fleet, "fleet.slots: %d, want 1 to %d", f.Slots, mostSlots)
 	possible := len(all) == 0
-	bad(f.Work.d() > time.Second || f.Origin.d() > time.Second, fleet, "fleet.work, origin_work: %v and %v, want 1s at most",
-		f.Work.d(), f.Origin.d())
-	bad(l.For.d() <= 0 || l.For.d() > mostFor, load, "load.for: %v, want above 0, at most %v", l.For.d(), mostFor)
+	bad(f.WorkTime.d() > time.Second || f.OriginWorkTime.d() > time.Second, fleet, "fleet.work, origin_work: %v and %v, want 1s at most",
+		f.WorkTime.d(), f.OriginWorkTime.d())
+	bad(l.Duration.d() <= 0 || l.Duration.d() > mostFor, load, "load.for: %v, want above 0, at most %v", l.Duration.d(), mostFor)
 	bad(!(l.Rate > 0 && l.Rate <= mostRate), load, "load.rate: %v, want above 0, at most %v", l.Rate, mostRate)
 	bad(l.Keys < 1 || l.Keys > mostKeys, load, "load.keys: %d, want 1 to %d", l.Keys, mostKeys)
 	bad(!(l.Skew >= 0 && l.Skew <= 3), load, "load.skew: %v, want 0 to 3", l.Skew)
@@ -219,8 +219,8 @@
 	}
 	bad(sum == 0, load, "load.shares: all 0")
 	for _, b := range l.Bursts {
-		bad(!(b.Times > 0 && b.Times*l.Rate <= mostRate), load, "load.bursts: times %v, want above 0, and at most %v ops/s",
-			b.Times, mostRate)
+		bad(!(b.Factor > 0 && b.Factor*l.Rate <= mostRate), load, "load.bursts: times %v, want above 0, and at most %v ops/s",
+			b.Factor, mostRate)
 	}
 	bad(len(p.Faults) > mostFaults, load, "faults: %d, want %d at most", len(p.Faults), mostFaults)
 	if !possible { // faults are injected into parts of a fleet
--- a/internal/trial/plan_test.go
+++ b/internal/trial/plan_test.go
@@ -27,7 +27,7 @@
 - {at: 1s, for: 1s, what: slow, of: [origin], by: 0.5, way: up}
 - {at: 1s, for: 1s, what: cut, of: [b1]}`,
 	} {
-		_, err := Read([]byte(text))
+		_, err := ParsePlan([]byte(text))
 		fmt.Println(err)
 	}
 	// Output:
@@ -53,7 +53,7 @@
 
 // What a plan leaves out is as usual; zones and all stand for their parts.
 func Example_plan() {
-	p, err := Read([]byte(`
+	p, err := ParsePlan([]byte(`
 name: two at one instant
 load: {for: 3s, rate: 50}
 faults:
@@ -80,8 +80,8 @@
 // A drawn plan's text reads as the plan that it was, and its faults are injected in the same order; each has two faults at once.
 func TestDrawnPlansPlayAgain(t *testing.T) {
 	for seed := range uint64(300) {
-		p := Draw(seed)
-		again, err := Read([]byte(p.String()))
+		p := RandomPlan(seed)
+		again, err := ParsePlan([]byte(p.String()))
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, p)
 		}
@@ -91,12 +91,12 @@
 		if !reflect.DeepEqual(p, again) {
 			t.Fatalf("seed %d: printed and read\n%s\nis\n%s", seed, p, again)
 		}
-		if !reflect.DeepEqual(p.moments(), again.moments()) || !reflect.DeepEqual(p, Draw(seed)) {
+		if !reflect.DeepEqual(p.moments(), again.moments()) || !reflect.DeepEqual(p, RandomPlan(seed)) {
 			t.Fatalf("seed %d: another order", seed)
 		}
-		half := p.Load.For / 2
+		half := p.Load.Duration / 2
 		for _, x := range p.Faults {
-			if x.At > half || !kinds[x.What].instant && x.At+x.For < half {
+			if x.At > half || !kinds[x.Kind].instant && x.At+x.Duration < half {
 				t.Fatalf("seed %d: %v does not overlap the others", seed, x)
 			}
 		}
@@ -104,15 +104,15 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(Draw(1).String())
+	f.Add(RandomPlan(1).String())
 	f.Add("faults: [{what: kill}]")
 	f.Add("a: &a {b: *a}")
 	f.Fuzz(func(t *testing.T, text string) {
-		p, err := Read([]byte(text))
+		p, err := ParsePlan([]byte(text))
 		if err != nil {
 			return
 		}
-		if again, err := Read([]byte(p.String())); err != nil || len(again.Faults) != len(p.Faults) {
+		if again, err := ParsePlan([]byte(p.String())); err != nil || len(again.Faults) != len(p.Faults) {
 			t.Fatalf("%v\n%s", err, p)
 		}
 	})
@@ -120,32 +120,32 @@
 
 // A plan that fails whenever b2 is killed while h3 hangs shrinks to these two faults, on the least fleet that has both parts.
 func TestShrink(t *testing.T) {
-	p := Usual()
+	p := DefaultPlan()
 	for _, x := range []Fault{
-		{What: "slow", Of: []string{"h1", "h2"}, By: "4"},
-		{What: "kill", Of: []string{"b1", "b2"}},
-		{What: "hang", Of: []string{"h2", "h3", "origin"}},
-		{What: "delay", From: []string{"b1"}, To: []string{"h1"}, By: "20ms"},
+		{Kind: "slow", Parts: []string{"h1", "h2"}, Magnitude: "4"},
+		{Kind: "kill", Parts: []string{"b1", "b2"}},
+		{Kind: "hang", Parts: []string{"h2", "h3", "origin"}},
+		{Kind: "delay", From: []string{"b1"}, To: []string{"h1"}, Magnitude: "20ms"},
 	} {
-		x.At, x.For = For(time.Second), For(time.Second)
+		x.At, x.Duration = Duration(time.Second), Duration(time.Second)
 		p.Faults = append(p.Faults, x)
 	}
 	least, err := Shrink(context.Background(), p, []string{"answers"}, func(_ context.Context, q Plan) (*Result, error) {
 		injected := map[string]bool{}
 		for _, x := range q.Faults {
-			for _, name := range x.Of {
-				injected[x.What+name] = true
+			for _, name := range x.Parts {
+				injected[x.Kind+name] = true
 			}
 		}
 		if injected["killb2"] && injected["hangh3"] {
-			return &Result{Breaks: []Break{{Rule: "answers"}}}, nil
+			return &Result{Violations: []Violation{{Rule: "answers"}}}, nil
 		}
-		return &Result{Breaks: []Break{{Rule: "another"}}}, nil
+		return &Result{Violations: []Violation{{Rule: "another"}}}, nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprint(least.Fleet.Balancers, least.Fleet.Hosts, least.Load.For.d(), least.Faults)
+	got := fmt.Sprint(least.Fleet.Balancers, least.Fleet.Hosts, least.Load.Duration.d(), least.Faults)
 	if want := "2 3 2.2s [  1.00s kill b2 for 1s   1.00s hang h3 for 1s]"; got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
--- a/internal/trial/process.go
+++ b/internal/trial/process.go
@@ -39,8 +39,8 @@
 	termMost   = 4 * time.Second       // from SIGTERM to SIGKILL
 )
 
-// Line is a line of a process's log.
-type Line struct {
+// LogLine is a line of a process's log.
+type LogLine struct {
 	At   time.Duration
 	Text string
 }
@@ -50,8 +50,8 @@
 	From, To time.Duration // To is 0 while it lasts
 }
 
-// Absence is a while in which a process did not serve.
-type Absence struct {
+// Outage is a while in which a process did not serve.
+type Outage struct {
 	Span
 	Frozen bool // it stood still, and went on; else it ended
 }
@@ -70,8 +70,8 @@
 	state condition
 	cmd   *exec.Cmd
 	over  chan struct{} // closed when cmd has ended
-	lines []Line
-	away  []Absence
+	lines []LogLine
+	away  []Outage
 	wall  string // by how much its clock is off when it starts
 	crash string // its last word, where it ended by itself
 }
@@ -117,24 +117,24 @@
 	case to == serving && len(p.away) > 0 && p.away[len(p.away)-1].To == 0:
 		p.away[len(p.away)-1].To = now
 	case was == serving && to != serving:
-		p.away = append(p.away, Absence{Span{From: now}, to == frozen})
+		p.away = append(p.away, Outage{Span{From: now}, to == frozen})
 	case was == frozen && to != serving:
 		p.away[len(p.away)-1].Frozen = false
 	}
 }
 
-// Condition is what the process is in.
-func (p *Process) Condition() string {
+// State is what the process is in.
+func (p *Process) State() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.String()
 }
 
-// Absences are the spans in which the process did not serve, since it first did.
-func (p *Process) Absences() []Absence {
+// Outages are the spans in which the process did not serve, since it first did.
+func (p *Process) Outages() []Outage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Absence(nil), p.away...)
+	return append([]Outage(nil), p.away...)
 }
 
 // Crash is the last word of a process that ended without being told to, empty where none did.
@@ -145,10 +145,10 @@
 }
 
 // Log is what the process has written, the last lines of it.
-func (p *Process) Log() []Line {
+func (p *Process) Log() []LogLine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Line(nil), p.lines...)
+	return append([]LogLine(nil), p.lines...)
 }
 
 // Start starts the process by a program, and waits until it serves.
@@ -300,7 +300,7 @@
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
 		p.mu.Lock()
-		p.lines = append(p.lines, Line{p.now(), s.Text()})
+		p.lines = append(p.lines, LogLine{p.now(), s.Text()})
 		if len(p.lines) > logLines {
 			p.lines = p.lines[len(p.lines)-logLines:]
 		}
@@ -339,8 +339,8 @@
 	return nil
 }
 
-// Term tells the process to end. One that does not within some seconds is killed, which is told as an error.
-func (p *Process) Term() error {
+// Terminate tells the process to end. One that does not within some seconds is killed, which is told as an error.
+func (p *Process) Terminate() error {
 	if err := p.signal(syscall.SIGTERM, ending, starting, serving); err != nil {
 		return err
 	}
@@ -366,8 +366,8 @@
 	}
 }
 
-// Empty clears the disk of a process that is absent, but for its start file.
-func (p *Process) Empty() error {
+// ClearDir clears the disk of a process that is absent, but for its start file.
+func (p *Process) ClearDir() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state != absent {
--- a/internal/trial/process_test.go
+++ b/internal/trial/process_test.go
@@ -25,8 +25,8 @@
 	if err == nil || !strings.Contains(err.Error(), "b1: ended amid its start: no room") {
 		t.Fatal(err)
 	}
-	if p.Condition() != "absent" || p.Crash() == "" {
-		t.Fatal(p.Condition(), p.Crash())
+	if p.State() != "absent" || p.Crash() == "" {
+		t.Fatal(p.State(), p.Crash())
 	}
 }
 
@@ -38,11 +38,11 @@
 	for len(p.Log()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if err := p.Term(); err == nil || !strings.Contains(err.Error(), "killed") {
+	if err := p.Terminate(); err == nil || !strings.Contains(err.Error(), "killed") {
 		t.Fatal(err)
 	}
-	if p.Condition() != "absent" || p.Crash() != "" {
-		t.Fatal(p.Condition(), p.Crash())
+	if p.State() != "absent" || p.Crash() != "" {
+		t.Fatal(p.State(), p.Crash())
 	}
 }
 
@@ -55,13 +55,13 @@
 		do   func() error
 	}{
 		{"thaw", p.Thaw}, {"start", func() error { return start(text) }}, {"start", func() error { return start(text) }},
-		{"empty", p.Empty}, {"freeze", p.Freeze}, {"term", p.Term}, {"thaw", p.Thaw}, {"kill", p.Kill}, {"kill", p.Kill},
-		{"empty", p.Empty}, {"start", func() error { return start("exec sleep 60") }},
+		{"empty", p.ClearDir}, {"freeze", p.Freeze}, {"term", p.Terminate}, {"thaw", p.Thaw}, {"kill", p.Kill}, {"kill", p.Kill},
+		{"empty", p.ClearDir}, {"start", func() error { return start("exec sleep 60") }},
 	}
 	var said strings.Builder
 	for _, s := range steps {
 		err := s.do()
-		fmt.Fprintf(&said, "%s: %v: %s\n", s.name, err, p.Condition())
+		fmt.Fprintf(&said, "%s: %v: %s\n", s.name, err, p.State())
 		time.Sleep(50 * time.Millisecond)
 	}
 	want := `thaw: b1: is absent: absent
@@ -82,7 +82,7 @@
 	if _, err := os.Stat(filepath.Join(p.Dir, "kept")); err == nil {
 		t.Error("the disk was not emptied")
 	}
-	if away := p.Absences(); len(away) != 2 || !away[0].Frozen || away[1].Frozen || away[1].To == 0 {
+	if away := p.Outages(); len(away) != 2 || !away[0].Frozen || away[1].Frozen || away[1].To == 0 {
 		t.Errorf("away: %v", away)
 	}
 }
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -13,15 +13,15 @@
 	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
-// Table writes a result for people.
-func (r *Result) Table(w io.Writer) {
-	fmt.Fprintf(w, "%s: %.1f%% of the ops acked within %v\n\n", r.Name, 100*r.Service(), target)
+// WriteTable writes a result for people.
+func (r *Result) WriteTable(w io.Writer) {
+	fmt.Fprintf(w, "%s: %.1f%% of the ops acked within %v\n\n", r.Name, 100*r.InTimeShare(), target)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "category\tops\tin time\tacked\tnacked\tfailed\tcut\tsilent\tuntaken\tp50 ms\tp99\tp99.9\t")
-	for _, g := range r.Groups {
-		fmt.Fprintf(t, "%s\t%d\t%d", g.Name, g.Asked, g.InTime)
-		for _, a := range []Answer{Acked, Nacked, Failed, Cut, Silent, Untaken} {
-			fmt.Fprintf(t, "\t%d", g.Answers[a])
+	for _, g := range r.Categories {
+		fmt.Fprintf(t, "%s\t%d\t%d", g.Name, g.Ops, g.InTime)
+		for _, a := range []Outcome{Acked, Nacked, Failed, Disconnected, TimedOut, NotAccepted} {
+			fmt.Fprintf(t, "\t%d", g.Outcomes[a])
 		}
 		fmt.Fprintf(t, "\t%.1f\t%.1f\t%.1f\t\n", g.P50, g.P99, g.P999)
 	}
@@ -30,16 +30,16 @@
 	for _, h := range r.hosts() {
 		fmt.Fprintf(w, " %s %d", h, r.Pushes[h])
 	}
-	fmt.Fprintf(w, "\nthe load generator's own lateness, 99 in 100: %.1f ms\n", r.Late)
-	for _, text := range r.Trouble {
+	fmt.Fprintf(w, "\nthe load generator's own lateness, 99 in 100: %.1f ms\n", r.SendDelayP99)
+	for _, text := range r.ClusterErrors {
 		fmt.Fprintf(w, "trial cluster: %s\n", text)
 	}
-	if len(r.Breaks) == 0 {
+	if len(r.Violations) == 0 {
 		fmt.Fprintf(w, "all rules kept\n")
 		return
 	}
-	fmt.Fprintf(w, "\nrules broken: %s\n", strings.Join(r.Rules(), ", "))
-	for _, b := range r.Breaks {
+	fmt.Fprintf(w, "\nrules broken: %s\n", strings.Join(r.BrokenRules(), ", "))
+	for _, b := range r.Violations {
 		fmt.Fprintf(w, "  %8.3fs  %-8s  %s\n", b.At.Seconds(), b.Rule, b.Text)
 	}
 }
@@ -61,7 +61,7 @@
 // series is a line of a plot, one value a second.
 type series struct {
 	name   string
-	values func(s Second) float64
+	values func(s SecondResult) float64
 	color  drawing.Color
 }
 
@@ -71,17 +71,17 @@
 	shade = drawing.ColorFromHex("d0a060").WithAlpha(0x50)
 )
 
-// HTML writes the report: one file with everything in it.
-func (r *Result) HTML(w io.Writer) error {
+// WriteHTML writes the report: one file with everything in it.
+func (r *Result) WriteHTML(w io.Writer) error {
 	service, err := r.plot("served in time, % of the ops of each second", 100,
-		series{"in time", func(s Second) float64 { return 100 * ratio(s.InTime, s.Asked) }, blue},
-		series{"nacked", func(s Second) float64 { return 100 * ratio(s.Nacked, s.Asked) }, red})
+		series{"in time", func(s SecondResult) float64 { return 100 * ratio(s.InTime, s.Ops) }, blue},
+		series{"nacked", func(s SecondResult) float64 { return 100 * ratio(s.Nacked, s.Ops) }, red})
 	if err != nil {
 		return err
 	}
 	took, err := r.plot("latency of acked ops from when they were due, ms", 0,
-		series{"half", func(s Second) float64 { return s.P50 }, blue},
-		series{"99 in 100", func(s Second) float64 { return s.P99 }, red})
+		series{"half", func(s SecondResult) float64 { return s.P50 }, blue},
+		series{"99 in 100", func(s SecondResult) float64 { return s.P99 }, red})
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		return err
 	}
 	var table bytes.Buffer
-	r.Table(&table)
+	r.WriteTable(&table)
 	return page.Execute(w, map[string]any{"Name": r.Name, "Table": table.String(), "Plan": r.Plan,
 		"Injected": strings.Join(r.Injected, "\n"), "Plots": []template.HTML{service, took, hosts}})
 }
@@ -116,7 +116,7 @@
 			Style: chart.Style{StrokeColor: l.color, StrokeWidth: 2}})
 	}
 	top = max(top*1.05, 1)
-	for _, m := range r.Marks {
+	for _, m := range r.FaultSpans {
 		to := max(m.To, m.From+0.05)
 		c.Series = append(c.Series, chart.ContinuousSeries{XValues: []float64{m.From, to}, YValues: []float64{top, top},
 			Style: chart.Style{StrokeColor: shade, FillColor: shade}})
--- a/internal/trial/shrink.go
+++ b/internal/trial/shrink.go
@@ -23,7 +23,7 @@
 			if err != nil {
 				return false, err
 			}
-			for _, rule := range r.Rules() {
+			for _, rule := range r.BrokenRules() {
 				for _, want := range broken {
 					if rule == want {
 						return true, nil
@@ -64,9 +64,9 @@
 		step(func(q *Plan) { q.Faults = append(q.Faults[:i:i], q.Faults[i+1:]...) })
 	}
 	for i, x := range p.Faults {
-		for k := range x.Of {
-			if len(x.Of) > 1 {
-				step(func(q *Plan) { q.Faults[i].Of = without(x.Of, k) })
+		for k := range x.Parts {
+			if len(x.Parts) > 1 {
+				step(func(q *Plan) { q.Faults[i].Parts = without(x.Parts, k) })
 			}
 		}
 		for k := range x.From {
@@ -82,10 +82,10 @@
 	}
 	last := time.Duration(0)
 	for _, x := range p.Faults {
-		last = max(last, (x.At + x.For).d())
+		last = max(last, (x.At + x.Duration).d())
 	}
-	if short := max(last+200*time.Millisecond, time.Second); short < p.Load.For.d()*9/10 {
-		step(func(q *Plan) { q.Load.For = For(short) })
+	if short := max(last+200*time.Millisecond, time.Second); short < p.Load.Duration.d()*9/10 {
+		step(func(q *Plan) { q.Load.Duration = Duration(short) })
 	}
 	for _, less := range []func(n int) int{func(n int) int { return n / 2 }, func(n int) int { return n - 1 }} {
 		step(func(q *Plan) { q.Fleet.Balancers = less(p.Fleet.Balancers) })
--- a/internal/trial/start.go
+++ b/internal/trial/start.go
@@ -20,11 +20,11 @@
 	}
 	c.dir, c.shell, c.links = dir, newShell(), map[[2]string]*Link{}
 	c.at = ownAddresses()
-	origin := standin.Capacity{ServiceTime: f.Origin.d(), Slots: f.Hosts, QueueLimit: 20 * f.Hosts}
+	origin := standin.Capacity{ServiceTime: f.OriginWorkTime.d(), Slots: f.Hosts, QueueLimit: 20 * f.Hosts}
 	if c.fleet, err = standin.NewFleet(c.plan.Seed, origin); err != nil {
 		return err
 	}
-	work := standin.Capacity{ServiceTime: f.Work.d(), Slots: f.Slots, QueueLimit: 8 * f.Slots}
+	work := standin.Capacity{ServiceTime: f.WorkTime.d(), Slots: f.Slots, QueueLimit: 8 * f.Slots}
 	warming := standin.Warming{InitialShare: coldShare, Duration: coldFor, OverloadMultiple: tipTimes, OverloadWindow: tipFor}
 	for i, id := range f.hosts() {
 		if _, err := c.fleet.AddHost(id, f.zone(i+1), c.at.hosts(), c.plan.Seed+uint64(i), work, warming); err != nil {
