--- a/cmd/larchthread/scale_feed.go
+++ b/cmd/larchthread/scale_feed.go
@@ -50,7 +50,7 @@
 	flags.IntVar(&s.options.KillRelays, "kill-relays", 0, "kill so many relays in mid-run, so that their connections end")
 	flags.IntVar(&s.options.FreezeRelays, "freeze-relays", 0, "have so many relays fall silent in mid-run, with their connections open")
 	flags.IntVar(&s.options.CutSize, "cut-region", 0, "cut off a region with so many balancers in mid-run")
-	flags.DurationVar(&s.options.Cut, "cut", 2*time.Minute, "for how long the region is cut off")
+	flags.DurationVar(&s.options.CutDuration, "cut", 2*time.Minute, "for how long the region is cut off")
 	flags.BoolVar(&s.options.RestartAll, "restart-all", false, "kill publisher and relays in mid-run, and start them again")
 	flags.StringVar(&s.html, "html", "", "write a report with pictures to this file")
 	return c
--- a/cmd/larchthread/scale_feed_test.go
+++ b/cmd/larchthread/scale_feed_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, kind := range []feedscale.Kind{feedscale.Settings, feedscale.Purges} {
 		if stats := result.Kinds[kind]; stats.Published == 0 || stats.Failed > 0 ||
-			stats.Everywhere.Count+stats.Partial != stats.Published {
+			stats.PropagationLatency.Count+stats.Partial != stats.Published {
 			t.Errorf("%v: %+v", kind, stats)
 		}
 	}
--- a/internal/feed/feedscale/audit.go
+++ b/internal/feed/feedscale/audit.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Fault is what an audit found wrong with a change at a subscriber.
-type Fault uint8
+// Violation is what an audit found wrong with a change at a subscriber.
+type Violation uint8
 
 // The faults.
 const (
-	Lost       Fault = iota // published, and neither applied nor covered
-	Repeated                // applied twice, or applied and covered
-	OutOfOrder              // applied behind a later one
-	Unknown                 // applied, and never published as such
+	Lost       Violation = iota // published, and neither applied nor covered
+	Duplicated                  // applied twice, or applied and covered
+	OutOfOrder                  // applied behind a later one
+	Unknown                     // applied, and never published as such
 )
 
 // String names the fault.
-func (f Fault) String() string {
+func (f Violation) String() string {
 	switch f {
 	case Lost:
 		return "lost"
-	case Repeated:
+	case Duplicated:
 		return "repeated"
 	case OutOfOrder:
 		return "out of order"
@@ -35,7 +35,7 @@
 type Finding struct {
 	Subscriber int
 	Kind       Kind
-	Fault      Fault
+	Violation  Violation
 	Position   position
 	Identity   uint64
 }
@@ -43,7 +43,7 @@
 // String describes the finding in one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("subscriber %d: %v %016x at %d/%d: %v", f.Subscriber, f.Kind, f.Identity, f.Position.Epoch,
-		f.Position.Sequence, f.Fault)
+		f.Position.Sequence, f.Violation)
 }
 
 // audit compares the histories of subscribers with what was published.
@@ -146,7 +146,7 @@
 	}
 	switch {
 	case w.taken[i]:
-		w.report(Repeated, at, change.Identity)
+		w.report(Duplicated, at, change.Identity)
 	case at.compare(w.cursor) <= 0:
 		w.report(OutOfOrder, at, change.Identity)
 	}
@@ -185,7 +185,7 @@
 			w.coverage.ByReset++
 		}
 	case w.taken[i]:
-		w.report(Repeated, change.Position, change.Identity)
+		w.report(Duplicated, change.Position, change.Identity)
 	case !covered.includes(change.Identity):
 		return // found as lost at the end
 	default:
@@ -225,6 +225,6 @@
 	slices.SortStableFunc(w.findings, func(x, y Finding) int { return cmp.Compare(x.Position.Sequence, y.Position.Sequence) })
 }
 
-func (w *auditWalk) report(fault Fault, at position, identity uint64) {
+func (w *auditWalk) report(fault Violation, at position, identity uint64) {
 	w.findings = append(w.findings, Finding{w.subscriber, w.kind, fault, at, identity})
 }
--- a/internal/feed/feedscale/audit_test.go
+++ b/internal/feed/feedscale/audit_test.go
@@ -54,15 +54,15 @@
 	for _, c := range []struct {
 		name  string
 		plant func(h *history)
-		want  Fault
+		want  Violation
 	}{
 		{"a purge lost", func(h *history) { h.applied = slices.Delete(h.applied, purge, purge+1) }, Lost},
 		{"the last purge lost", func(h *history) { h.applied = h.applied[:len(h.applied)-1] }, Lost},
 		{"the last value of a setting lost", func(h *history) {
 			h.applied = slices.Delete(h.applied, lastSetting, lastSetting+1)
 		}, Lost},
-		{"a purge applied twice", func(h *history) { h.applied = slices.Insert(h.applied, purge, h.applied[purge]) }, Repeated},
-		{"a setting applied twice", func(h *history) { h.applied = append(h.applied, h.applied[lastSetting]) }, Repeated},
+		{"a purge applied twice", func(h *history) { h.applied = slices.Insert(h.applied, purge, h.applied[purge]) }, Duplicated},
+		{"a setting applied twice", func(h *history) { h.applied = append(h.applied, h.applied[lastSetting]) }, Duplicated},
 		{"two purges swapped", func(h *history) {
 			h.applied[purge], h.applied[purge+2] = h.applied[purge+2], h.applied[purge]
 		}, OutOfOrder},
@@ -71,13 +71,13 @@
 		{"a range that repeats a purge", func(h *history) {
 			h.cover(coveredRange{Kind: Purges, From: position{1, 6}, To: position{1, 7}, PrefixBits: 24,
 				Prefixes: []uint64{identityFor(Purges, 6) >> 40}})
-		}, Repeated},
+		}, Duplicated},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			planted := faithful()
 			c.plant(planted)
 			findings := findingsOf(planted)
-			if !slices.ContainsFunc(findings, func(f Finding) bool { return f.Fault == c.want }) {
+			if !slices.ContainsFunc(findings, func(f Finding) bool { return f.Violation == c.want }) {
 				t.Errorf("found %v, want one %v", findings, c.want)
 			}
 		})
@@ -153,7 +153,7 @@
 	if want := "subscriber 0: purges 0000010000000001 at 1/1: lost"; !result.Failed() || !strings.Contains(table.String(), want) {
 		t.Errorf("failed: %v, want %q in:\n%s", result.Failed(), want, &table)
 	}
-	if (&Result{}).Failed() || !(&Result{Unsettled: errTimeout}).Failed() {
+	if (&Result{}).Failed() || !(&Result{ConvergenceError: errTimeout}).Failed() {
 		t.Error("a run fails where it is sound, or not where subscribers stay behind")
 	}
 }
--- a/internal/feed/feedscale/faults.go
+++ b/internal/feed/feedscale/faults.go
@@ -61,7 +61,7 @@
 		faults = append(faults, plannedFault{fmt.Sprintf("%d relays frozen", options.FreezeRelays), false, f.freezeRelays})
 	}
 	if options.CutSize > 0 {
-		text := fmt.Sprintf("a region of %d cut off for %v", options.CutSize, options.Cut)
+		text := fmt.Sprintf("a region of %d cut off for %v", options.CutSize, options.CutDuration)
 		faults = append(faults, plannedFault{text, true, f.cutRegion})
 	}
 	if options.RestartAll {
@@ -93,7 +93,7 @@
 func (f *fleet) cutRegion(ctx context.Context) error {
 	f.partition.begin()
 	defer f.partition.heal()
-	if !sleep(ctx, f.options.Cut) {
+	if !sleep(ctx, f.options.CutDuration) {
 		return ctx.Err()
 	}
 	return nil
--- a/internal/feed/feedscale/measures.go
+++ b/internal/feed/feedscale/measures.go
@@ -17,16 +17,16 @@
 		received.add(subscriber.received.total(w.from, w.to))
 		sent.add(subscriber.sent.total(w.from, w.to))
 		greatest := subscriber.received.greatestSecond(w.from, w.settled)
-		result.BytesGreatest = max(result.BytesGreatest, greatest.Bytes)
-		result.SegmentsGreatest = max(result.SegmentsGreatest, greatest.Segments)
+		result.MaxBytesInSecond = max(result.MaxBytesInSecond, greatest.Bytes)
+		result.MaxSegmentsInSecond = max(result.MaxSegmentsInSecond, greatest.Segments)
 	}
 	subscribers := float64(len(f.subscribers))
 	each := subscribers * (w.to - w.from).Seconds()
 	result.BytesPerSecond = float64(received.Bytes) / each
-	result.SentPerSecond = float64(sent.Bytes) / each
+	result.SentBytesPerSecond = float64(sent.Bytes) / each
 	result.SegmentsPerSecond = float64(received.Segments+sent.Segments) / each
 	result.MessagesPerSecond = float64(w.counted.MessagesReceived) / each
-	result.Processor = w.processor.Seconds() / each
+	result.CPU = w.processor.Seconds() / each
 	result.Memory = (w.memory - f.historyBytes()) / len(f.subscribers)
 	return result
 }
@@ -60,7 +60,7 @@
 
 func senderResult(name string, sent *meter, w window, length float64) SenderResult {
 	return SenderResult{Name: name, BytesPerSecond: float64(sent.total(w.from, w.to).Bytes) / length,
-		BytesGreatest: sent.greatestSecond(w.from, w.settled).Bytes, Bound: feed.DefaultTotalBytesPerSecond}
+		MaxBytesInSecond: sent.greatestSecond(w.from, w.settled).Bytes, Limit: feed.DefaultTotalBytesPerSecond}
 }
 
 // merge adds what another meter has counted.
@@ -83,7 +83,7 @@
 		results = append(results, ProcessResult{name, used.Seconds() / length, after.Resident})
 	}
 	slices.SortFunc(results, func(x, y ProcessResult) int {
-		return cmp.Or(cmp.Compare(y.Processor, x.Processor), cmp.Compare(x.Name, y.Name))
+		return cmp.Or(cmp.Compare(y.CPU, x.CPU), cmp.Compare(x.Name, y.Name))
 	})
 	return results
 }
@@ -93,7 +93,7 @@
 
 func (f *fleet) faultResult(r *Result, w window, mark faultMark) FaultResult {
 	result := FaultResult{Text: mark.Text, From: mark.From - r.From, To: mark.To - r.From}
-	result.Everywhere, result.Partial = r.spreads.everywhere(Purges, r.Subscriber.Counted, mark.From-faultLead, mark.To+faultWindow)
+	result.PropagationLatency, result.Partial = r.spreads.everywhere(Purges, r.Subscriber.Counted, mark.From-faultLead, mark.To+faultWindow)
 	recovered := newLatencyHistogram()
 	for i, subscriber := range f.subscribers {
 		if mark.Isolating && !f.placement.inCutRegion(i) {
@@ -101,13 +101,13 @@
 		}
 		at, reached := subscriber.history.reachedAt(mark.Heads)
 		if !reached {
-			result.Unfinished++
+			result.NotRecovered++
 		} else {
 			recovered.add(at - mark.To)
 		}
 		lastStale, lastFresh := subscriber.history.staleness(mark.From, w.settled)
 		if lastStale > 0 {
-			result.Stale++
+			result.StaleSubscribers++
 			result.LastStale = max(result.LastStale, lastStale-mark.From)
 			result.LastFresh = max(result.LastFresh, lastFresh-mark.To)
 		}
--- a/internal/feed/feedscale/options.go
+++ b/internal/feed/feedscale/options.go
@@ -19,7 +19,7 @@
 // What control may cost a balancer.
 const (
 	BytesPerSecondBudget = 3000
-	ProcessorBudget      = 0.023 // of a core
+	CPUBudget            = 0.023 // of a core
 	MemoryBudget         = 128 << 20
 )
 
@@ -38,7 +38,7 @@
 	KillRelays   int           // relays killed in mid-run: their connections end at once
 	FreezeRelays int           // relays that fall silent in mid-run, as a machine does that fails: their connections stay
 	CutSize      int           // subscribers of the region that is cut off; 0: none is
-	Cut          time.Duration // for how long
+	CutDuration  time.Duration // for how long
 	RestartAll   bool          // publisher and relays are killed at once, and started again
 }
 
@@ -59,9 +59,9 @@
 		return errOneProcess
 	case o.CutSize < 0 || o.CutSize > o.Subscribers:
 		return fmt.Errorf("want to cut off at most the %d subscribers there are", o.Subscribers)
-	case o.CutSize > 0 && (o.Cut <= 0 || min(o.Regions, o.Relays) < 2):
+	case o.CutSize > 0 && (o.CutDuration <= 0 || min(o.Regions, o.Relays) < 2):
 		return errors.New("a cut needs a duration and two regions with a relay each")
-	case o.CutSize > 0 && o.faultAt()+o.Cut >= o.Duration:
+	case o.CutSize > 0 && o.faultAt()+o.CutDuration >= o.Duration:
 		return errors.New("want a workload that goes on after the cut")
 	}
 	return nil
--- a/internal/feed/feedscale/report.go
+++ b/internal/feed/feedscale/report.go
@@ -65,7 +65,7 @@
 // spreadPlot shows which part of the fleet has a change so long after it was due.
 func (r *Result) spreadPlot() plot {
 	every := &line{name: "all changes", color: blue}
-	sum, total := 0, max(r.Each.Count, 1)
+	sum, total := 0, max(r.DeliveryLatency.Count, 1)
 	for i, number := range r.spreads.buckets[:spreadStepCount] {
 		every.add(float64(i)*seconds(spreadStep), 100*float64(sum)/float64(total))
 		sum += number
--- a/internal/feed/feedscale/result.go
+++ b/internal/feed/feedscale/result.go
@@ -6,18 +6,18 @@
 
 // Result is what came of a run.
 type Result struct {
-	Options    Options
-	Separate   bool          // publisher and relays were processes of their own
-	From, To   time.Duration // of the workload, since the run began
-	Kinds      [kinds]KindResult
-	Each       Latency // of each change at each subscriber
-	Subscriber SubscriberResult
-	Senders    []SenderResult
-	Processes  []ProcessResult // publisher and relays, where they are processes of their own
-	Faults     []FaultResult
-	Coverage   Coverage
-	Findings   []Finding
-	Unsettled  error // why not all subscribers became current in the end
+	Options           Options
+	SeparateProcesses bool          // publisher and relays were processes of their own
+	From, To          time.Duration // of the workload, since the run began
+	Kinds             [kinds]KindResult
+	DeliveryLatency   Latency // of each change at each subscriber
+	Subscriber        SubscriberResult
+	Senders           []SenderResult
+	Processes         []ProcessResult // publisher and relays, where they are processes of their own
+	Faults            []FaultResult
+	Coverage          Coverage
+	Findings          []Finding
+	ConvergenceError  error // why not all subscribers became current in the end
 
 	spreads       *spreads
 	median, worst spread
@@ -25,26 +25,26 @@
 }
 
 // Failed tells whether a change was lost, repeated, out of order or unknown, or a subscriber did not become current.
-func (r *Result) Failed() bool { return len(r.Findings) > 0 || r.Unsettled != nil }
+func (r *Result) Failed() bool { return len(r.Findings) > 0 || r.ConvergenceError != nil }
 
 // KindResult is what came of the changes of one kind.
 type KindResult struct {
-	Published, Failed int
-	Everywhere        Latency // from when a change was due until it was applied by every subscriber that counts
-	Partial           int     // acknowledged changes that some subscriber did not apply one by one
+	Published, Failed  int
+	PropagationLatency Latency // from when a change was due until it was applied by every subscriber that counts
+	Partial            int     // acknowledged changes that some subscriber did not apply one by one
 }
 
 // SubscriberResult is what one subscriber costs.
 type SubscriberResult struct {
-	Counted           int     // subscribers that count for latencies: those of a region that is cut off do not
-	BytesPerSecond    float64 // received, in the mean of all and of the time
-	BytesGreatest     int     // received by any of them in any second
-	SentPerSecond     float64 // bytes, in the mean
-	SegmentsPerSecond float64 // both ways, in the mean
-	SegmentsGreatest  int     // received by any of them in any second
-	MessagesPerSecond float64 // received, in the mean
-	Processor         float64 // part of a core: of this process, divided
-	Memory            int     // bytes of heap and stacks of this process, divided
+	Counted             int     // subscribers that count for latencies: those of a region that is cut off do not
+	BytesPerSecond      float64 // received, in the mean of all and of the time
+	MaxBytesInSecond    int     // received by any of them in any second
+	SentBytesPerSecond  float64 // bytes, in the mean
+	SegmentsPerSecond   float64 // both ways, in the mean
+	MaxSegmentsInSecond int     // received by any of them in any second
+	MessagesPerSecond   float64 // received, in the mean
+	CPU                 float64 // part of a core: of this process, divided
+	Memory              int     // bytes of heap and stacks of this process, divided
 }
 
 // HeaderBytesPerSecond reckons what headers and acknowledgements add both ways, with one acknowledgement for each segment.
@@ -54,30 +54,30 @@
 
 // SenderResult is what a publisher or relay sent.
 type SenderResult struct {
-	Name           string
-	BytesPerSecond float64
-	BytesGreatest  int // in any second, to all children
-	Bound          int
+	Name             string
+	BytesPerSecond   float64
+	MaxBytesInSecond int // in any second, to all children
+	Limit            int
 }
 
 // ProcessResult is what a process of publisher or relay used.
 type ProcessResult struct {
-	Name      string
-	Processor float64 // part of a core, during the workload
-	Resident  int     // bytes, at most
+	Name             string
+	CPU              float64 // part of a core, during the workload
+	MaxResidentBytes int     // bytes, at most
 }
 
 // FaultResult is what came of a fault.
 type FaultResult struct {
-	Text       string
-	From, To   time.Duration // since the workload began
-	Everywhere Latency       // of changes that were due from just before the fault until a while after its end
-	Partial    int
-	Stale      int // subscribers that were told that their knowledge is stale
-	LastStale  time.Duration
-	Recovered  Latency // from the end until a subscriber had what was published before it
-	Unfinished int     // subscribers that never had it
-	LastFresh  time.Duration
+	Text               string
+	From, To           time.Duration // since the workload began
+	PropagationLatency Latency       // of changes that were due from just before the fault until a while after its end
+	Partial            int
+	StaleSubscribers   int // subscribers that were told that their knowledge is stale
+	LastStale          time.Duration
+	Recovered          Latency // from the end until a subscriber had what was published before it
+	NotRecovered       int     // subscribers that never had it
+	LastFresh          time.Duration
 }
 
 // secondResult is what came of a second of the workload.
@@ -90,7 +90,7 @@
 // result sums up a run.
 func (f *fleet) result(w window) *Result {
 	audit := newAudit(&f.ledger)
-	r := &Result{Options: f.options, Separate: len(w.control) > 0, From: w.from, To: w.to, Unsettled: w.unsettled, spreads: newSpreads(audit)}
+	r := &Result{Options: f.options, SeparateProcesses: len(w.control) > 0, From: w.from, To: w.to, ConvergenceError: w.unsettled, spreads: newSpreads(audit)}
 	var counted []*history
 	for i, subscriber := range f.subscribers {
 		findings, coverage := audit.check(i, &subscriber.history)
@@ -118,9 +118,9 @@
 	for kind := range kinds {
 		of := &r.Kinds[kind]
 		of.Published, of.Failed = f.ledger.counts(kind)
-		of.Everywhere, of.Partial = r.spreads.everywhere(kind, len(counted), 0, r.To)
+		of.PropagationLatency, of.Partial = r.spreads.everywhere(kind, len(counted), 0, r.To)
 	}
-	r.Each = r.spreads.each.sum()
+	r.DeliveryLatency = r.spreads.each.sum()
 	r.median, r.worst = r.spreads.medianAndWorst(len(counted))
 	r.median.follow(counted)
 	r.worst.follow(counted)
--- a/internal/feed/feedscale/run_test.go
+++ b/internal/feed/feedscale/run_test.go
@@ -25,7 +25,7 @@
 	result.Table(&table)
 	t.Log("\n" + table.String())
 	if result.Failed() {
-		t.Errorf("found %v, unsettled: %v", result.Findings, result.Unsettled)
+		t.Errorf("found %v, unsettled: %v", result.Findings, result.ConvergenceError)
 	}
 	return result
 }
@@ -36,12 +36,12 @@
 	options := smallFleet()
 	result := play(t, options)
 	for kind := range kinds {
-		if of := result.Kinds[kind]; of.Everywhere.Count != of.Published || of.Published == 0 || of.Failed > 0 || of.Partial > 0 {
+		if of := result.Kinds[kind]; of.PropagationLatency.Count != of.Published || of.Published == 0 || of.Failed > 0 || of.Partial > 0 {
 			t.Errorf("%v: %+v, want all of them everywhere", kind, of)
 		}
 	}
-	if result.Each.Count != options.Subscribers*(result.Kinds[Settings].Published+result.Kinds[Purges].Published) {
-		t.Errorf("%d applied", result.Each.Count)
+	if result.DeliveryLatency.Count != options.Subscribers*(result.Kinds[Settings].Published+result.Kinds[Purges].Published) {
+		t.Errorf("%d applied", result.DeliveryLatency.Count)
 	}
 	checkReport(t, result)
 }
@@ -78,14 +78,14 @@
 func TestRegionCut(t *testing.T) {
 	t.Parallel()
 	options := smallFleet()
-	options.CutSize, options.Cut, options.Duration = 20, 5*time.Second, 9*time.Second
+	options.CutSize, options.CutDuration, options.Duration = 20, 5*time.Second, 9*time.Second
 	result := play(t, options)
 	if len(result.Faults) != 1 {
 		t.Fatalf("faults: %+v", result.Faults)
 	}
-	if cut := result.Faults[0]; cut.Stale != options.CutSize || cut.Unfinished != 0 {
-		t.Errorf("%d of the %d that were cut off were told so; %d never had what was published meanwhile", cut.Stale, options.CutSize,
-			cut.Unfinished)
+	if cut := result.Faults[0]; cut.StaleSubscribers != options.CutSize || cut.NotRecovered != 0 {
+		t.Errorf("%d of the %d that were cut off were told so; %d never had what was published meanwhile", cut.StaleSubscribers, options.CutSize,
+			cut.NotRecovered)
 	}
 	if result.Subscriber.Counted != options.Subscribers-options.CutSize {
 		t.Errorf("%d subscribers counted", result.Subscriber.Counted)
@@ -109,7 +109,7 @@
 		"all relays killed":   func(o *Options) { o.KillRelays = o.Relays },
 		"frozen in process":   func(o *Options) { o.FreezeRelays = 1 },
 		"a cut without time":  func(o *Options) { o.CutSize = 1 },
-		"a cut to the end":    func(o *Options) { o.CutSize, o.Cut = 1, o.Duration },
+		"a cut to the end":    func(o *Options) { o.CutSize, o.CutDuration = 1, o.Duration },
 	} {
 		options := smallFleet()
 		spoil(&options)
--- a/internal/feed/feedscale/table.go
+++ b/internal/feed/feedscale/table.go
@@ -17,9 +17,9 @@
 	for kind := range kinds {
 		of := r.Kinds[kind]
 		row("%v\t%d published, %d attempts failed, %.1f a second", kind, of.Published, of.Failed, float64(of.Published)/r.length())
-		row("  until applied by all %d\t%v%s", r.Subscriber.Counted, of.Everywhere, partial(of.Partial))
+		row("  until applied by all %d\t%v%s", r.Subscriber.Counted, of.PropagationLatency, partial(of.Partial))
 	}
-	row("each change at each subscriber\t%v", r.Each)
+	row("each change at each subscriber\t%v", r.DeliveryLatency)
 	r.subscriberRows(row)
 	r.controlRows(row)
 	for _, fault := range r.Faults {
@@ -36,7 +36,7 @@
 type rowFunc func(format string, values ...any)
 
 func (r *Result) place() string {
-	if r.Separate {
+	if r.SeparateProcesses {
 		return "publisher and relays in processes of their own"
 	}
 	return "all in one process"
@@ -60,18 +60,18 @@
 func (r *Result) subscriberRows(row rowFunc) {
 	s := r.Subscriber
 	row("one subscriber receives\t%.0f B/s in %.1f messages, %.1f%% of %d B/s; at most %d B in any second (%.0f%%)", s.BytesPerSecond,
-		s.MessagesPerSecond, percent(s.BytesPerSecond, BytesPerSecondBudget), BytesPerSecondBudget, s.BytesGreatest,
-		percent(float64(s.BytesGreatest), BytesPerSecondBudget))
-	row("  it sends\t%.0f B/s", s.SentPerSecond)
+		s.MessagesPerSecond, percent(s.BytesPerSecond, BytesPerSecondBudget), BytesPerSecondBudget, s.MaxBytesInSecond,
+		percent(float64(s.MaxBytesInSecond), BytesPerSecondBudget))
+	row("  it sends\t%.0f B/s", s.SentBytesPerSecond)
 	row("  headers and acknowledgements\t%.0f B/s reckoned, both ways, at %d B a segment and acknowledgement (%.1f segments a second)",
 		s.HeaderBytesPerSecond(), headerBytes, s.SegmentsPerSecond)
-	all := s.BytesPerSecond + s.SentPerSecond + s.HeaderBytesPerSecond()
+	all := s.BytesPerSecond + s.SentBytesPerSecond + s.HeaderBytesPerSecond()
 	row("  all together\t%.0f B/s, %.1f%% of %d B/s", all, percent(all, BytesPerSecondBudget), BytesPerSecondBudget)
 	note := ""
-	if !r.Separate {
+	if !r.SeparateProcesses {
 		note = ", with its part of the publisher and relays"
 	}
-	row("  processor\t%.3f%% of a core, %.1f%% of %.1f%%%s", 100*s.Processor, percent(s.Processor, ProcessorBudget), 100*ProcessorBudget, note)
+	row("  processor\t%.3f%% of a core, %.1f%% of %.1f%%%s", 100*s.CPU, percent(s.CPU, CPUBudget), 100*CPUBudget, note)
 	row("  heap and stacks\t%.0f KB, %.2f%% of %d MB%s", float64(s.Memory)/1024, percent(float64(s.Memory), MemoryBudget),
 		MemoryBudget>>20, note)
 }
@@ -82,13 +82,13 @@
 	if len(r.Senders) > 0 {
 		publisher, busiest := r.Senders[0], r.Senders[0]
 		for _, sender := range r.Senders[1:] {
-			if busiest.Name == publisher.Name || sender.BytesGreatest > busiest.BytesGreatest {
+			if busiest.Name == publisher.Name || sender.MaxBytesInSecond > busiest.MaxBytesInSecond {
 				busiest = sender
 			}
 		}
 		for _, sender := range []SenderResult{publisher, busiest} {
 			row("%s sends\t%.0f B/s; at most %d B in any second, %.1f%% of its bound of %d", sender.Name, sender.BytesPerSecond,
-				sender.BytesGreatest, percent(float64(sender.BytesGreatest), float64(sender.Bound)), sender.Bound)
+				sender.MaxBytesInSecond, percent(float64(sender.MaxBytesInSecond), float64(sender.Limit)), sender.Limit)
 		}
 	}
 	if len(r.Processes) == 0 {
@@ -96,29 +96,29 @@
 	}
 	busiest, largest := r.Processes[0], r.Processes[0]
 	for _, process := range r.Processes {
-		if process.Resident > largest.Resident {
+		if process.MaxResidentBytes > largest.MaxResidentBytes {
 			largest = process
 		}
 	}
-	row("busiest control process\t%s: %.2f%% of a core, %.0f%% of %.1f%%", busiest.Name, 100*busiest.Processor,
-		percent(busiest.Processor, ProcessorBudget), 100*ProcessorBudget)
-	row("largest control process\t%s: %d MB resident, %.0f%% of %d MB", largest.Name, largest.Resident>>20,
-		percent(float64(largest.Resident), MemoryBudget), MemoryBudget>>20)
+	row("busiest control process\t%s: %.2f%% of a core, %.0f%% of %.1f%%", busiest.Name, 100*busiest.CPU,
+		percent(busiest.CPU, CPUBudget), 100*CPUBudget)
+	row("largest control process\t%s: %d MB resident, %.0f%% of %d MB", largest.Name, largest.MaxResidentBytes>>20,
+		percent(float64(largest.MaxResidentBytes), MemoryBudget), MemoryBudget>>20)
 }
 
 func faultRows(row rowFunc, fault FaultResult) {
 	row("fault: %s\tfrom %.1f s to %.1f s", fault.Text, fault.From.Seconds(), fault.To.Seconds())
-	row("  purges of that time, until applied by all\t%v%s", fault.Everywhere, partial(fault.Partial))
-	row("  stale subscribers\t%d, the last %.1f s after the beginning; fresh again %.1f s after the end", fault.Stale,
+	row("  purges of that time, until applied by all\t%v%s", fault.PropagationLatency, partial(fault.Partial))
+	row("  stale subscribers\t%d, the last %.1f s after the beginning; fresh again %.1f s after the end", fault.StaleSubscribers,
 		fault.LastStale.Seconds(), fault.LastFresh.Seconds())
-	row("  from its end until current\t%v, %d never", fault.Recovered, fault.Unfinished)
+	row("  from its end until current\t%v, %d never", fault.Recovered, fault.NotRecovered)
 }
 
 func (r *Result) auditRows(row rowFunc) {
 	row("covered otherwise\t%d purges by prefix, %d changes by reset, %d settings by a later value", r.Coverage.ByPrefix,
 		r.Coverage.ByReset, r.Coverage.Superseded)
-	if r.Unsettled != nil {
-		row("not settled\t%v", r.Unsettled)
+	if r.ConvergenceError != nil {
+		row("not settled\t%v", r.ConvergenceError)
 	}
 	if len(r.Findings) == 0 {
 		row("audit\tnone lost, none twice, none out of order")
