--- a/cmd/larchthread/scale.go
+++ b/cmd/larchthread/scale.go
@@ -78,7 +78,7 @@
 
 func scaleWatchCommand(asJSON *bool) *cobra.Command {
 	balancers := []int{50, 200, 600, 1700}
-	config := scale.WatchConfig{Hosts: scale.TargetHosts, Idle: 4 * time.Second, Absence: 3 * time.Second}
+	config := scale.WatchConfig{Hosts: scale.TargetHosts, IdleDuration: 4 * time.Second, OutageDuration: 3 * time.Second}
 	c := &cobra.Command{Use: "watch", Short: "The watch on discovery: many hollow balancers, one real one beside them", Args: cobra.NoArgs,
 		Long: "Run the real loop, router and watch of many balancers without clients in this process, on loopback sockets, and one real\n" +
 			"process beside them. Takes about a minute.",
@@ -94,8 +94,8 @@
 		}}
 	c.Flags().IntSliceVar(&balancers, "balancers", balancers, "numbers of balancers")
 	c.Flags().IntVar(&config.Hosts, "hosts", config.Hosts, "cache hosts on the list")
-	c.Flags().DurationVar(&config.Idle, "idle", config.Idle, "how long the idle watch is measured")
-	c.Flags().DurationVar(&config.Absence, "absence", config.Absence, "how long discovery is away")
+	c.Flags().DurationVar(&config.IdleDuration, "idle", config.IdleDuration, "how long the idle watch is measured")
+	c.Flags().DurationVar(&config.OutageDuration, "absence", config.OutageDuration, "how long discovery is away")
 	return c
 }
 
--- a/cmd/larchthread/scale_test.go
+++ b/cmd/larchthread/scale_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if result.Resting < hosts || result.LargeAnswers == 0 {
-		t.Errorf("%d idle connections to %d hosts, %d large answers", result.Resting, hosts, result.LargeAnswers)
+	if result.IdleConnections < hosts || result.LargeAnswers == 0 {
+		t.Errorf("%d idle connections to %d hosts, %d large answers", result.IdleConnections, hosts, result.LargeAnswers)
 	}
 }
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -40,26 +40,26 @@
 
 // ConnectionsResult is what connections cost one real balancer, and what follows for the fleet.
 type ConnectionsResult struct {
-	Hosts               int     `json:"hosts"`
-	Resting             int     `json:"resting"`        // connections to hosts that carry nothing
-	RestingMemory       float64 `json:"resting_memory"` // resident bytes of the process, each
-	Used                int     `json:"used"`           // descriptors beyond that, with a request in flight for each of its clients
-	UsedClients         int     `json:"used_clients"`
-	UsedMemory          float64 `json:"used_memory"` // resident bytes for each request in flight
-	StartMemory         float64 `json:"start_memory"`
-	LargeAnswers        int     `json:"large_answers"`
-	LargeFailed         int     `json:"large_failed"`
-	LargeCPU            float64 `json:"large_cpu_ms"` // processor time of an answer of 385 KB
-	LargePeak           float64 `json:"large_peak"`   // most resident bytes of the process until then
-	HostConnections     int     `json:"host_connections"`
-	FleetConnections    int     `json:"fleet_connections"`
-	ReturnFirst         float64 `json:"return_first"` // handshakes at a host in the first second after its return
-	ReturnAll           float64 `json:"return_all"`   // seconds until 99 in 100 balancers have one
-	CoreAtTarget        float64 `json:"core_at_target"`
-	BandwidthGigabit    float64 `json:"bandwidth_gbit"`
-	RequestsPerSecond   float64 `json:"requests_per_second"`
-	HandshakesPerZone   float64 `json:"handshakes_per_zone"`
-	PushesEachPerSecond float64 `json:"pushes_each_per_second"` // from one balancer to one host
+	Hosts                  int     `json:"hosts"`
+	IdleConnections        int     `json:"resting"`        // connections to hosts that carry nothing
+	IdleConnectionBytes    float64 `json:"resting_memory"` // resident bytes of the process, each
+	InFlightDescriptors    int     `json:"used"`           // descriptors beyond that, with a request in flight for each of its clients
+	InFlightRequests       int     `json:"used_clients"`
+	InFlightRequestBytes   float64 `json:"used_memory"` // resident bytes for each request in flight
+	InitialMemory          float64 `json:"start_memory"`
+	LargeAnswers           int     `json:"large_answers"`
+	LargeFailed            int     `json:"large_failed"`
+	LargeCPU               float64 `json:"large_cpu_ms"` // processor time of an answer of 385 KB
+	PeakMemory             float64 `json:"large_peak"`   // most resident bytes of the process until then
+	HostConnections        int     `json:"host_connections"`
+	FleetConnections       int     `json:"fleet_connections"`
+	FirstSecondHandshakes  float64 `json:"return_first"` // handshakes at a host in the first second after its return
+	ReconnectSeconds       float64 `json:"return_all"`   // seconds until 99 in 100 balancers have one
+	CoresAtTarget          float64 `json:"core_at_target"`
+	BandwidthGbit          float64 `json:"bandwidth_gbit"`
+	RequestsPerSecond      float64 `json:"requests_per_second"`
+	HandshakesPerZone      float64 `json:"handshakes_per_zone"`
+	PushesPerHostPerSecond float64 `json:"pushes_each_per_second"` // from one balancer to one host
 }
 
 // MeasureConnections starts one real balancer before simulated hosts, and counts its descriptors, memory and processor time.
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	defer p.stop()
-	result := &ConnectionsResult{Hosts: config.Hosts, UsedClients: usedClients}
+	result := &ConnectionsResult{Hosts: config.Hosts, InFlightRequests: usedClients}
 	for _, step := range []func(*process) error{result.resting, result.used, result.largeAnswers} {
 		if err := step(p); err != nil {
 			return nil, err
@@ -100,7 +100,7 @@
 
 // resting opens a connection to each host, and lets all rest.
 func (r *ConnectionsResult) resting(p *process) (err error) {
-	if r.StartMemory, err = p.memory("VmRSS"); err != nil {
+	if r.InitialMemory, err = p.memory("VmRSS"); err != nil {
 		return err
 	}
 	before, err := p.descriptors()
@@ -116,8 +116,8 @@
 		return err
 	}
 	memory, err := p.memory("VmRSS")
-	r.Resting = after - before
-	r.RestingMemory = (memory - r.StartMemory) / math.Max(float64(r.Resting), 1)
+	r.IdleConnections = after - before
+	r.IdleConnectionBytes = (memory - r.InitialMemory) / math.Max(float64(r.IdleConnections), 1)
 	return err
 }
 
@@ -145,8 +145,8 @@
 	if err != nil {
 		return err
 	}
-	r.Used = during - before
-	r.UsedMemory = (peak - memory) / usedClients
+	r.InFlightDescriptors = during - before
+	r.InFlightRequestBytes = (peak - memory) / usedClients
 	return <-ended
 }
 
@@ -165,23 +165,23 @@
 		return err
 	}
 	r.LargeCPU = milliseconds(after-before) / math.Max(float64(r.LargeAnswers), 1)
-	r.LargePeak, err = p.memory("VmHWM")
+	r.PeakMemory, err = p.memory("VmHWM")
 	return err
 }
 
 // reckon derives what follows at the size that the fleet is designed for.
 func (r *ConnectionsResult) reckon() {
-	r.RequestsPerSecond = TargetRate / TargetBalancers
-	r.BandwidthGigabit = r.RequestsPerSecond * TargetAnswerBytes * 8 / 1e9
-	r.CoreAtTarget = r.RequestsPerSecond * r.LargeCPU / 1000
+	r.RequestsPerSecond = TargetRequestRate / TargetBalancers
+	r.BandwidthGbit = r.RequestsPerSecond * TargetAnswerBytes * 8 / 1e9
+	r.CoresAtTarget = r.RequestsPerSecond * r.LargeCPU / 1000
 	r.HostConnections = TargetBalancers
 	r.FleetConnections = TargetBalancers * TargetHosts
-	r.PushesEachPerSecond = r.RequestsPerSecond / TargetHosts
+	r.PushesPerHostPerSecond = r.RequestsPerSecond / TargetHosts
 	// A host that is back stands on the cycle with a part of its points, so each balancer sends it that part of the usual
 	// rate; the first push of each opens a connection.
-	first := r.PushesEachPerSecond * coldShare
-	r.ReturnFirst = TargetBalancers * (1 - math.Exp(-first))
-	r.ReturnAll = math.Log(100) / first
+	first := r.PushesPerHostPerSecond * coldShare
+	r.FirstSecondHandshakes = TargetBalancers * (1 - math.Exp(-first))
+	r.ReconnectSeconds = math.Log(100) / first
 	r.HandshakesPerZone = TargetBalancers * zoneHosts
 }
 
@@ -249,24 +249,24 @@
 	kilobytes := func(bytes float64) string { return fmt.Sprintf("%.1f KB", bytes/1000) }
 	measured := Table{Title: "Connections of one real balancer, measured", Columns: []string{"what", "figure"}, Rows: [][]string{
 		{"cache hosts", strconv.Itoa(r.Hosts)},
-		{"resident memory at the start", kilobytes(r.StartMemory)},
-		{"resting connections to hosts, a descriptor each", strconv.Itoa(r.Resting)},
-		{"resident memory of each, answers of some bytes read on them included", kilobytes(r.RestingMemory)},
-		{fmt.Sprintf("descriptors for %d requests in flight, beyond those", r.UsedClients), strconv.Itoa(r.Used)},
-		{"resident memory for each request in flight", kilobytes(r.UsedMemory)},
+		{"resident memory at the start", kilobytes(r.InitialMemory)},
+		{"resting connections to hosts, a descriptor each", strconv.Itoa(r.IdleConnections)},
+		{"resident memory of each, answers of some bytes read on them included", kilobytes(r.IdleConnectionBytes)},
+		{fmt.Sprintf("descriptors for %d requests in flight, beyond those", r.InFlightRequests), strconv.Itoa(r.InFlightDescriptors)},
+		{"resident memory for each request in flight", kilobytes(r.InFlightRequestBytes)},
 		{"answers of 385 KB read, and not served", fmt.Sprintf("%d, %d", r.LargeAnswers, r.LargeFailed)},
 		{"processor time of one", fmt.Sprintf("%.3f ms", r.LargeCPU)},
-		{"greatest resident memory of the process", kilobytes(r.LargePeak)},
+		{"greatest resident memory of the process", kilobytes(r.PeakMemory)},
 	}}
 	reckoned := Table{Title: "What follows at the designed size, reckoned", Columns: []string{"what", "figure"}, Rows: [][]string{
 		{"requests a second at a balancer", fmt.Sprintf("%.0f", r.RequestsPerSecond)},
-		{"answers at a balancer", fmt.Sprintf("%.2f Gbit/s", r.BandwidthGigabit)},
-		{"core of a balancer for that", fmt.Sprintf("%.2f", r.CoreAtTarget)},
-		{"pushes a second from one balancer to one host", fmt.Sprintf("%.1f", r.PushesEachPerSecond)},
+		{"answers at a balancer", fmt.Sprintf("%.2f Gbit/s", r.BandwidthGbit)},
+		{"core of a balancer for that", fmt.Sprintf("%.2f", r.CoresAtTarget)},
+		{"pushes a second from one balancer to one host", fmt.Sprintf("%.1f", r.PushesPerHostPerSecond)},
 		{"resting connections at a host", strconv.Itoa(r.HostConnections)},
 		{"resting connections of the fleet", strconv.Itoa(r.FleetConnections)},
-		{"handshakes at a host in the first second after its return", fmt.Sprintf("%.0f", r.ReturnFirst)},
-		{"seconds until 99 in 100 balancers have a connection to it", fmt.Sprintf("%.1f", r.ReturnAll)},
+		{"handshakes at a host in the first second after its return", fmt.Sprintf("%.0f", r.FirstSecondHandshakes)},
+		{"seconds until 99 in 100 balancers have a connection to it", fmt.Sprintf("%.1f", r.ReconnectSeconds)},
 		{fmt.Sprintf("handshakes after a zone's return, %d hosts", zoneHosts), fmt.Sprintf("%.0f", r.HandshakesPerZone)},
 	}}
 	return []Table{measured, reckoned}
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -22,34 +22,34 @@
 	gossipFanOut = 3.0    // peers told in each round
 	digestBytes  = 12.0   // of one item of a digest: a version and a hash
 	treeRelays   = 18.0   // and one publisher: the machines set aside for control
-	changeRate   = TargetChangesPerDay / float64(secondsPerDay)
+	changeRate   = TargetConfigChangesPerDay / float64(secondsPerDay)
 	newsBytes    = TargetPurgeRate*purgeBytes + changeRate*changeBytes // a second
 )
 
-// Way is one way to carry settings and purges to all balancers.
-type Way struct {
-	Name             string  `json:"name"`
-	BalancerMessages float64 `json:"balancer_messages"` // a second, both ways, acknowledgements left out
-	BalancerBytes    float64 `json:"balancer_bytes"`    // a second, both ways, all headers and acknowledgements counted
-	BusiestMessages  float64 `json:"busiest_messages"`  // a second, at the control machine that has most
-	BusiestBytes     float64 `json:"busiest_bytes"`
-	Seconds          float64 `json:"seconds"` // until a purge is everywhere, without a fault
+// Strategy is one way to carry settings and purges to all balancers.
+type Strategy struct {
+	Name                   string  `json:"name"`
+	BalancerMessages       float64 `json:"balancer_messages"` // a second, both ways, acknowledgements left out
+	BalancerBytes          float64 `json:"balancer_bytes"`    // a second, both ways, all headers and acknowledgements counted
+	BusiestMachineMessages float64 `json:"busiest_messages"`  // a second, at the control machine that has most
+	BusiestMachineBytes    float64 `json:"busiest_bytes"`
+	PropagationSeconds     float64 `json:"seconds"` // until a purge is everywhere, without a fault
 }
 
 // fits tells whether a way keeps to what a balancer may spend and to the time a purge may take.
-func (w Way) fits() bool {
-	return w.BalancerBytes <= TargetControlBytes && w.Seconds <= TargetPurgeTime
+func (w Strategy) fits() bool {
+	return w.BalancerBytes <= TargetControlBytes && w.PropagationSeconds <= TargetPurgeTime
 }
 
 // ControlResult compares the ways to carry settings and purges, by arithmetic alone.
 type ControlResult struct {
-	Ways []Way `json:"ways"`
+	Strategies []Strategy `json:"ways"`
 }
 
 // CompareControl reckons what each way costs at so many balancers.
 func CompareControl(balancers int) *ControlResult {
 	n := float64(balancers)
-	return &ControlResult{Ways: []Way{poll(n), pushEach(n), pushBatches(n), tree(n), gossipWhole(n), gossipDigests(n)}}
+	return &ControlResult{Strategies: []Strategy{poll(n), pushEach(n), pushBatches(n), tree(n), gossipWhole(n), gossipDigests(n)}}
 }
 
 // wireBytes is what a message costs on the wire: its segments, and an acknowledgement for every second one, one at the least.
@@ -59,19 +59,19 @@
 }
 
 // poll has each balancer ask one of the control machines in turn, on a connection that is kept.
-func poll(n float64) Way {
+func poll(n float64) Strategy {
 	asked := 1 / pollEvery
 	bytes := asked * (wireBytes(requestBytes) + wireBytes(answerBytes+newsBytes*pollEvery))
 	part := n / TargetControlMachines
-	return Way{"each balancer asks, once a second", 2 * asked, bytes, 2 * asked * part, bytes * part, pollEvery + 3*oneWay}
+	return Strategy{"each balancer asks, once a second", 2 * asked, bytes, 2 * asked * part, bytes * part, pollEvery + 3*oneWay}
 }
 
 // pushEach sends each change in a message of its own; each machine has its part of the balancers.
-func pushEach(n float64) Way {
+func pushEach(n float64) Strategy {
 	messages := TargetPurgeRate + changeRate
 	bytes := TargetPurgeRate*wireBytes(frameBytes+purgeBytes) + changeRate*wireBytes(frameBytes+changeBytes)
 	part := n/TargetControlMachines + TargetControlMachines - 1 // each hands what reaches it first to the others
-	return Way{"19 machines push, each change by itself", messages, bytes, messages * part, bytes * part, 2 * oneWay}
+	return Strategy{"19 machines push, each change by itself", messages, bytes, messages * part, bytes * part, 2 * oneWay}
 }
 
 // batches is what one receiver of batches costs.
@@ -80,17 +80,17 @@
 	return messages, messages * wireBytes(frameBytes+newsBytes*batchEvery)
 }
 
-func pushBatches(n float64) Way {
+func pushBatches(n float64) Strategy {
 	messages, bytes := batches()
 	part := n/TargetControlMachines + TargetControlMachines - 1
-	return Way{"19 machines push, in batches of 250 ms", messages, bytes, messages * part, bytes * part, 2 * (batchEvery + oneWay)}
+	return Strategy{"19 machines push, in batches of 250 ms", messages, bytes, messages * part, bytes * part, 2 * (batchEvery + oneWay)}
 }
 
 // tree has one publisher send batches to relays, and each relay to its part of the balancers.
-func tree(n float64) Way {
+func tree(n float64) Strategy {
 	messages, bytes := batches()
 	children := math.Max(treeRelays, math.Ceil(n/treeRelays)+1) // and its own parent
-	return Way{"tree: 1 publisher, 18 relays, batches of 250 ms", messages, bytes, messages * children, bytes * children,
+	return Strategy{"tree: 1 publisher, 18 relays, batches of 250 ms", messages, bytes, messages * children, bytes * children,
 		2 * (batchEvery + oneWay)}
 }
 
@@ -100,37 +100,37 @@
 }
 
 // gossipWhole has each balancer pass each change on to three others once.
-func gossipWhole(n float64) Way {
+func gossipWhole(n float64) Strategy {
 	peers := 2 * gossipFanOut // told, and heard from
 	messages := peers / gossipEvery
 	bytes := messages * wireBytes(frameBytes+newsBytes*gossipEvery)
-	return Way{"gossip to 3, changes as they are", messages, bytes, messages, bytes, gossipRounds(n) * (gossipEvery + oneWay)}
+	return Strategy{"gossip to 3, changes as they are", messages, bytes, messages, bytes, gossipRounds(n) * (gossipEvery + oneWay)}
 }
 
 // gossipDigests has balancers tell others which versions they have; what is missing is asked for and sent once.
-func gossipDigests(n float64) Way {
+func gossipDigests(n float64) Strategy {
 	peers := 2 * gossipFanOut
 	changes := TargetPurgeRate + changeRate
 	digests := peers / gossipEvery
 	bytes := digests*wireBytes(frameBytes+changes*gossipEvery*digestBytes) + 2*changes*wireBytes(frameBytes+digestBytes) +
 		2/gossipEvery*wireBytes(frameBytes+newsBytes*gossipEvery)
-	return Way{"gossip to 3, digests first", digests + 2*changes + 2/gossipEvery, bytes, digests + 2*changes, bytes,
+	return Strategy{"gossip to 3, digests first", digests + 2*changes + 2/gossipEvery, bytes, digests + 2*changes, bytes,
 		gossipRounds(n) * (gossipEvery + 3*oneWay)}
 }
 
 // Tables implements Result.
 func (r *ControlResult) Tables() []Table {
-	table := Table{Title: fmt.Sprintf("Ways to carry %v purges a second and %v changes a day to all balancers, reckoned", TargetPurgeRate, TargetChangesPerDay),
+	table := Table{Title: fmt.Sprintf("Ways to carry %v purges a second and %v changes a day to all balancers, reckoned", TargetPurgeRate, TargetConfigChangesPerDay),
 		Columns: []string{"way", "messages/s a balancer", "bytes/s a balancer", "of 3 KB/s", "messages/s, busiest machine", "KB/s, busiest machine",
 			"s to all", "fits"},
 		Notes: []string{
 			fmt.Sprintf("A purge has %v bytes and a change %v; %v bytes of headers a segment and acknowledgement; %v ms between regions.",
 				purgeBytes, changeBytes, segmentHead, oneWay*1000),
 			"Fits: at most 3 KB a second at a balancer, and a purge everywhere within 2.2 s, both without faults or repeats."}}
-	for _, w := range r.Ways {
+	for _, w := range r.Strategies {
 		table.Rows = append(table.Rows, []string{w.Name, fmt.Sprintf("%.1f", w.BalancerMessages), fmt.Sprintf("%.0f", w.BalancerBytes),
-			fmt.Sprintf("%.0f%%", 100*w.BalancerBytes/TargetControlBytes), fmt.Sprintf("%.0f", w.BusiestMessages),
-			fmt.Sprintf("%.1f", w.BusiestBytes/1000), fmt.Sprintf("%.2f", w.Seconds), strconv.FormatBool(w.fits())})
+			fmt.Sprintf("%.0f%%", 100*w.BalancerBytes/TargetControlBytes), fmt.Sprintf("%.0f", w.BusiestMachineMessages),
+			fmt.Sprintf("%.1f", w.BusiestMachineBytes/1000), fmt.Sprintf("%.2f", w.PropagationSeconds), strconv.FormatBool(w.fits())})
 	}
 	return []Table{table}
 }
--- a/internal/scale/simulation.go
+++ b/internal/scale/simulation.go
@@ -58,10 +58,10 @@
 	slots := int(math.Ceil(x.rate() * missPart * originTakes / originLoad))
 	x.servers = append(x.servers, newServer(slots, originTakes, math.Inf(1)))
 	group := s.Balancers
-	if s.Alone {
+	if s.SingleBalancer {
 		group = 1
 	}
-	parameters, err := parameters(settings(group, s.Duplicates))
+	parameters, err := parameters(settings(group, s.AllowDuplicates))
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 		start.ListOnRequest = false
 		start.Zone = seed % TargetZones
 		i := &instance{simulation: x}
-		if s.Table > 0 {
+		if s.MaxConnections > 0 {
 			i.idle = make([]uint8, len(x.servers))
 		}
 		i.balancer = balance.New(start, i, x.now)
@@ -79,7 +79,7 @@
 		}
 		x.instances = append(x.instances, i)
 		x.list(i, nil)
-		if !s.Started {
+		if !s.NoLearnedState {
 			i.balancer.Restore(x.learned())
 		}
 	}
@@ -121,25 +121,25 @@
 
 // rate is how many requests a ms come to all balancers.
 func (x *simulation) rate() float64 {
-	return TargetRate / TargetHosts * float64(x.scenario.Hosts) / 1000
+	return TargetRequestRate / TargetHosts * float64(x.scenario.Hosts) / 1000
 }
 
 // run plays the warm-up and the measured time.
 func (x *simulation) run() {
-	x.advance(startTime + x.scenario.WarmUp)
+	x.advance(startTime + x.scenario.WarmUpMS)
 	x.strike()
 	for _, s := range x.servers {
 		s.forget()
 	}
 	x.figures, x.samples = counts{}, 0
 	x.latencies.Reset()
-	x.advance(startTime + x.scenario.WarmUp + x.scenario.Measured)
+	x.advance(startTime + x.scenario.WarmUpMS + x.scenario.MeasuredMS)
 }
 
 // strike begins what the scenario has happen with the measured time.
 func (x *simulation) strike() {
-	if x.scenario.OriginSlower > 1 {
-		x.servers[x.origin()].takes *= x.scenario.OriginSlower
+	if x.scenario.OriginSlowdown > 1 {
+		x.servers[x.origin()].takes *= x.scenario.OriginSlowdown
 	}
 	if x.scenario.ColdHost {
 		x.servers[0].coldFrom = x.now
@@ -190,7 +190,7 @@
 func (x *simulation) arrive() {
 	i := x.instances[x.random.IntN(len(x.instances))]
 	key := popularKey
-	if x.random.Float64() >= x.scenario.Popular {
+	if x.random.Float64() >= x.scenario.PopularShare {
 		key = strconv.Itoa(x.random.IntN(ordinaryKeys))
 	}
 	x.figures.arrived++
@@ -240,7 +240,7 @@
 	case idle == nil || a.place == x.origin():
 	case idle[a.place] > 0:
 		idle[a.place]--
-	case a.server.connections >= x.scenario.Table:
+	case a.server.connections >= x.scenario.MaxConnections:
 		return false
 	default:
 		a.server.connections++
@@ -278,7 +278,7 @@
 
 func (x *simulation) tell(a *attempt) {
 	var report *balance.LoadReport
-	if x.scenario.Reports && a.place != x.origin() {
+	if x.scenario.LoadReports && a.place != x.origin() {
 		report = &balance.LoadReport{Busy: a.server.busy()}
 	}
 	if r := a.push.Op.Ref.(*request); a.outcome == balance.Served && !r.ended {
--- a/internal/scale/watch.go
+++ b/internal/scale/watch.go
@@ -20,36 +20,36 @@
 
 // WatchConfig is what is measured of the watch.
 type WatchConfig struct {
-	Hosts   int
-	Idle    time.Duration // how long the idle watch is measured
-	Absence time.Duration // how long discovery is away
-	Program string        // the real balancer to compare with; none if empty
-	Env     []string      // of that process
+	Hosts          int
+	IdleDuration   time.Duration // how long the idle watch is measured
+	OutageDuration time.Duration // how long discovery is away
+	Program        string        // the real balancer to compare with; none if empty
+	Env            []string      // of that process
 }
 
 // WatchRow is the cost of the watch for one number of balancers.
 type WatchRow struct {
-	Balancers    int     `json:"balancers"`
-	StartBytes   float64 `json:"start_bytes"` // a balancer, with the whole list
-	StartMS      float64 `json:"start_ms"`    // until all have it
-	IdleCalls    float64 `json:"idle_calls"`  // a second, at discovery
-	IdleBytes    float64 `json:"idle_bytes"`  // a second, both ways, at discovery
-	IdleCPU      float64 `json:"idle_cpu"`    // cores, balancers and discovery together
-	ReplaceCalls float64 `json:"replace_calls"`
-	ReplaceBytes float64 `json:"replace_bytes"` // of one replacement, beyond idle, at discovery
-	ReplaceMS    float64 `json:"replace_ms"`    // the longest of its changes to reach all
-	ZoneBytes    float64 `json:"zone_bytes"`    // of a zone's return, beyond idle
-	ZoneMS       float64 `json:"zone_ms"`
-	StormCalls   int64   `json:"storm_calls"` // in the second after discovery is back
-	StormBytes   int64   `json:"storm_bytes"`
-	StormMS      float64 `json:"storm_ms"` // until all have the current list
-	RealCalls    float64 `json:"real_calls"`
-	RealBytes    float64 `json:"real_bytes"`
-	RealCPU      float64 `json:"real_cpu"`
-	RealMemory   float64 `json:"real_memory"`
-	HollowMemory float64 `json:"hollow_memory"` // live heap of a balancer
-	idle         traffic
-	idleSeconds  float64
+	Balancers       int     `json:"balancers"`
+	StartBytes      float64 `json:"start_bytes"` // a balancer, with the whole list
+	StartMS         float64 `json:"start_ms"`    // until all have it
+	IdleCalls       float64 `json:"idle_calls"`  // a second, at discovery
+	IdleBytes       float64 `json:"idle_bytes"`  // a second, both ways, at discovery
+	IdleCores       float64 `json:"idle_cpu"`    // cores, balancers and discovery together
+	ReplaceCalls    float64 `json:"replace_calls"`
+	ReplaceBytes    float64 `json:"replace_bytes"` // of one replacement, beyond idle, at discovery
+	MaxReplaceMS    float64 `json:"replace_ms"`    // the longest of its changes to reach all
+	ZoneReturnBytes float64 `json:"zone_bytes"`    // of a zone's return, beyond idle
+	ZoneReturnMS    float64 `json:"zone_ms"`
+	ReconnectCalls  int64   `json:"storm_calls"` // in the second after discovery is back
+	ReconnectBytes  int64   `json:"storm_bytes"`
+	ReconnectMS     float64 `json:"storm_ms"` // until all have the current list
+	RealCalls       float64 `json:"real_calls"`
+	RealBytes       float64 `json:"real_bytes"`
+	RealCores       float64 `json:"real_cpu"`
+	RealMemory      float64 `json:"real_memory"`
+	HeapPerBalancer float64 `json:"hollow_memory"` // live heap of a balancer
+	idle            traffic
+	idleSeconds     float64
 }
 
 // WatchResult is the cost of the watch by the number of balancers.
@@ -82,9 +82,9 @@
 	}{
 		{"idle calls a second", func(row WatchRow) float64 { return row.IdleCalls }},
 		{"idle bytes a second", func(row WatchRow) float64 { return row.IdleBytes }},
-		{"idle cores", func(row WatchRow) float64 { return row.IdleCPU }},
+		{"idle cores", func(row WatchRow) float64 { return row.IdleCores }},
 		{"bytes of a replacement", func(row WatchRow) float64 { return row.ReplaceBytes }},
-		{"calls in the second after an absence", func(row WatchRow) float64 { return float64(row.StormCalls) }},
+		{"calls in the second after an absence", func(row WatchRow) float64 { return float64(row.ReconnectCalls) }},
 	} {
 		var points []Point
 		for _, row := range r.Rows {
@@ -106,11 +106,11 @@
 	for _, row := range r.Rows {
 		n := float64(row.Balancers)
 		idle.Rows = append(idle.Rows, []string{strconv.Itoa(row.Balancers), number("%.0f", row.IdleCalls), number("%.0f", row.IdleBytes),
-			number("%.3f", row.IdleCPU), number("%.0f", row.IdleBytes/n), number("%.2f", row.RealCalls), number("%.0f", row.RealBytes),
-			number("%.4f", row.RealCPU), number("%.1f", row.RealMemory/1e6), number("%.0f", row.HollowMemory/1000)})
+			number("%.3f", row.IdleCores), number("%.0f", row.IdleBytes/n), number("%.2f", row.RealCalls), number("%.0f", row.RealBytes),
+			number("%.4f", row.RealCores), number("%.1f", row.RealMemory/1e6), number("%.0f", row.HeapPerBalancer/1000)})
 		change.Rows = append(change.Rows, []string{strconv.Itoa(row.Balancers), number("%.0f", row.StartBytes), number("%.0f", row.StartMS),
-			number("%.0f", row.ReplaceCalls), number("%.0f", row.ReplaceBytes), number("%.0f", row.ReplaceMS), number("%.0f", row.ZoneBytes),
-			number("%.0f", row.ZoneMS), strconv.FormatInt(row.StormCalls, 10), strconv.FormatInt(row.StormBytes, 10), number("%.0f", row.StormMS)})
+			number("%.0f", row.ReplaceCalls), number("%.0f", row.ReplaceBytes), number("%.0f", row.MaxReplaceMS), number("%.0f", row.ZoneReturnBytes),
+			number("%.0f", row.ZoneReturnMS), strconv.FormatInt(row.ReconnectCalls, 10), strconv.FormatInt(row.ReconnectBytes, 10), number("%.0f", row.ReconnectMS)})
 	}
 	for _, line := range r.Lines {
 		change.Notes = append(change.Notes, line.String())
@@ -195,7 +195,7 @@
 		return err
 	}
 	r.row.StartBytes = float64(r.service.out.Load()) / float64(r.row.Balancers)
-	r.row.HollowMemory = (float64(liveHeap()) - float64(heap)) / float64(r.row.Balancers)
+	r.row.HeapPerBalancer = (float64(liveHeap()) - float64(heap)) / float64(r.row.Balancers)
 	time.Sleep(settleFor)
 	return nil
 }
@@ -215,7 +215,7 @@
 	if err := beside.begin(); err != nil {
 		return err
 	}
-	time.Sleep(r.config.Idle)
+	time.Sleep(r.config.IdleDuration)
 	r.row.idle, r.row.idleSeconds = r.service.traffic().minus(before), time.Since(began).Seconds()
 	if err := beside.end(&r.row); err != nil {
 		return err
@@ -223,7 +223,7 @@
 	after, err := processorTime()
 	r.row.IdleCalls = float64(r.row.idle.Calls) / r.row.idleSeconds
 	r.row.IdleBytes = float64(r.row.idle.In+r.row.idle.Out) / r.row.idleSeconds
-	r.row.IdleCPU = (after - used).Seconds() / r.row.idleSeconds
+	r.row.IdleCores = (after - used).Seconds() / r.row.idleSeconds
 	return err
 }
 
@@ -247,7 +247,7 @@
 		if err != nil {
 			return err
 		}
-		r.row.ReplaceMS = max(r.row.ReplaceMS, took)
+		r.row.MaxReplaceMS = max(r.row.MaxReplaceMS, took)
 		time.Sleep(changePause)
 	}
 	r.row.ReplaceCalls, r.row.ReplaceBytes = r.beyondIdle(before, began)
@@ -268,11 +268,11 @@
 		r.list(1+host, standin.InService, r.fleet.Elapsed())
 	}
 	var err error
-	if r.row.ZoneMS, err = r.reached(began); err != nil {
+	if r.row.ZoneReturnMS, err = r.reached(began); err != nil {
 		return err
 	}
 	time.Sleep(changePause)
-	_, r.row.ZoneBytes = r.beyondIdle(before, began)
+	_, r.row.ZoneReturnBytes = r.beyondIdle(before, began)
 	return nil
 }
 
@@ -280,15 +280,15 @@
 func (r *watchRun) returnDiscovery() error {
 	r.service.stop()
 	r.list(zoneHosts+1, standin.Terminating, 0)
-	time.Sleep(r.config.Absence)
+	time.Sleep(r.config.OutageDuration)
 	before, began := r.service.traffic(), time.Now()
 	if err := r.service.start(); err != nil {
 		return err
 	}
 	time.Sleep(time.Until(began.Add(time.Second)))
 	storm := r.service.traffic().minus(before)
-	r.row.StormCalls, r.row.StormBytes = storm.Calls, storm.In+storm.Out
+	r.row.ReconnectCalls, r.row.ReconnectBytes = storm.Calls, storm.In+storm.Out
 	var err error
-	r.row.StormMS, err = r.reached(began)
+	r.row.ReconnectMS, err = r.reached(began)
 	return err
 }
--- a/internal/scale/watch_real.go
+++ b/internal/scale/watch_real.go
@@ -56,7 +56,7 @@
 	}
 	row.RealCalls = float64(passed.Calls) / seconds
 	row.RealBytes = float64(passed.In+passed.Out) / seconds
-	row.RealCPU = (used - b.used).Seconds() / seconds
+	row.RealCores = (used - b.used).Seconds() / seconds
 	row.RealMemory, err = b.process.memory("VmRSS")
 	return err
 }
--- a/internal/scale/watch_test.go
+++ b/internal/scale/watch_test.go
@@ -64,9 +64,9 @@
 // the least that can be sent fits the limit.
 func TestControlArithmetic(t *testing.T) {
 	small, large := CompareControl(170), CompareControl(1700)
-	for i, w := range large.Ways {
-		if w.BalancerBytes != small.Ways[i].BalancerBytes {
-			t.Errorf("%s: %v bytes a second with 1,700 balancers, %v with 170", w.Name, w.BalancerBytes, small.Ways[i].BalancerBytes)
+	for i, w := range large.Strategies {
+		if w.BalancerBytes != small.Strategies[i].BalancerBytes {
+			t.Errorf("%s: %v bytes a second with 1,700 balancers, %v with 170", w.Name, w.BalancerBytes, small.Strategies[i].BalancerBytes)
 		}
 	}
 	if got := wireBytes(1449); got != 1449+3*segmentHead {
