--- a/cmd/larchthread/main_test.go
+++ b/cmd/larchthread/main_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The tests start this binary again as the program itself, and speak to it over sockets.
+// TestMain runs this binary as larchthread, as a bare relay or as a set of cache hosts if the environment says
+// so. Tests start it that way and talk to it over sockets.
 func TestMain(m *testing.M) {
 	if os.Getenv("LARCHTHREAD_SERVE") != "" {
 		done := startProfiling()
@@ -19,13 +20,14 @@
 		fmt.Fprintln(os.Stderr, runBareRelay(to[0], to[1:]))
 		os.Exit(1)
 	}
-	if told := os.Getenv("LARCHTHREAD_HOSTS"); told != "" {
-		serveHosts(told)
+	if hostsConfig := os.Getenv("LARCHTHREAD_HOSTS"); hostsConfig != "" {
+		serveHosts(hostsConfig)
 	}
 	os.Exit(m.Run())
 }
 
-// Reads go to the cache host and, after a miss, to the origin; writes go to the origin. Bad commands are named.
+// Reads go to the cache host and, after a miss, to the origin; writes go to the origin. Invalid commands get a
+// specific error.
 func Example() {
 	f := &fleet{}
 	f.AddHost("a", func(words []string) string {
--- /dev/null
+++ b/internal/routing/value_stream.go
@@ -0,0 +1,143 @@
+package routing
+
+import (
+	"larchthread/balance"
+	"larchthread/internal/protocol"
+	"larchthread/internal/transport"
+)
+
+// valueStream forwards a large value from a host to a client. The host is read no faster than the client reads.
+type valueStream struct {
+	hostConn      *hostConn
+	op            *op
+	answer        *protocol.Answer
+	started       bool            // the answer's first line has been written
+	remainder     transport.Chain // input that was unread when the host closed the connection
+	hostClosed    bool            // the host has closed the connection
+	progressTimer transport.Timer // fires when the stream makes no progress
+}
+
+// startStream starts to forward the value of an answer.
+func (hc *hostConn) startStream(a *protocol.Answer) {
+	p := hc.push
+	vs := &valueStream{hostConn: hc, op: p.op, answer: a, remainder: hc.conn.In.NewSibling()}
+	p.firstByteAfter = hc.router.loop.Now() - p.startedAt
+	p.setState(pushStreaming)
+	hc.stream, p.op.stream = vs, vs
+	vs.progressTimer.Fire = vs.onStall
+	hc.router.balancer.StreamingStarted(p.Push)
+	vs.op.client.conn.AfterWrite = vs.op.client.afterWrite
+	vs.advance()
+}
+
+// source returns the input that has not been forwarded.
+func (vs *valueStream) source() *transport.Chain {
+	if vs.hostClosed {
+		return &vs.remainder
+	}
+	return &vs.hostConn.conn.In
+}
+
+// advance forwards the available input, up to the window. Nothing is forwarded until the op is next in line.
+func (vs *valueStream) advance() {
+	c, hc := vs.op.client, vs.hostConn
+	if c.pipeline[0] == vs.op {
+		if !vs.started {
+			vs.started = true
+			protocol.WriteStreamHeader(&c.conn.Out, vs.op.command, vs.answer)
+		}
+		before := vs.source().Len()
+		done, err := hc.reader.StreamValue(vs.source(), &c.conn.Out, max(0, streamWindowBytes-c.conn.Out.Len()))
+		if vs.source().Len() < before {
+			c.conn.Flush()
+		}
+		switch {
+		case err != nil:
+			hc.router.log.Warn("invalid answer from host", "peer", hc.host.Name, "error", err)
+			vs.abort(transport.BadInput, balance.InvalidAnswer)
+			return
+		case done:
+			vs.complete()
+			return
+		case vs.hostClosed && c.conn.Out.Len() < streamWindowBytes: // no input is left
+			vs.abort(transport.PeerClosed, balance.ConnBroken)
+			return
+		}
+	}
+	hc.router.loop.SetTimer(&vs.progressTimer, progressTimeout)
+	hc.conn.SetPaused(hc.conn.In.Len() > 0)
+}
+
+// complete ends the stream after its last byte.
+func (vs *valueStream) complete() {
+	hc, p, op := vs.hostConn, vs.hostConn.push, vs.op
+	p.setState(pushEnded)
+	vs.release()
+	hc.push = nil
+	if vs.hostClosed {
+		hc.close(transport.CloseRequested)
+	} else {
+		hc.conn.SetPaused(false)
+		hc.keepIdle(vs.answer.Close)
+	}
+	hc.router.counters.byCategory[op.Category].Acked++
+	op.client.completeOp(op)
+	hc.router.reportEnd(p, balance.Served, vs.answer.Load...)
+}
+
+// hostEnded handles the end of the host's connection. Input received before is still forwarded at the client's
+// pace.
+func (vs *valueStream) hostEnded(reason transport.Reason) {
+	vs.remainder.MoveFrom(&vs.hostConn.conn.In)
+	vs.hostClosed = true
+	vs.advance()
+}
+
+// onStall ends a stream that has made no progress: either the client does not read or the host does not send.
+func (vs *valueStream) onStall() {
+	if vs.source().Len() > 0 || vs.op.client.conn.Out.Len() > 0 {
+		vs.op.client.closeNow(transport.SlowReader)
+		return
+	}
+	vs.abort(transport.PushTimeout, balance.TimedOut)
+}
+
+// abort ends an incomplete stream. It closes the client's connection in the middle of the answer, since the
+// client has no other way to notice.
+func (vs *valueStream) abort(reason transport.Reason, o balance.Outcome) {
+	hc, p, c := vs.hostConn, vs.hostConn.push, vs.op.client
+	hc.close(reason)
+	p.setState(pushEnded)
+	hc.router.counters.byCategory[vs.op.Category].DeadLettered++
+	vs.op.setState(opAnswered)
+	hc.router.reportEnd(p, o)
+	c.closeNow(transport.IncompleteAnswer)
+}
+
+// release detaches the stream from its op and connection and frees its buffers.
+func (vs *valueStream) release() {
+	vs.hostConn.router.loop.StopTimer(&vs.progressTimer)
+	vs.remainder.Free()
+	vs.hostConn.stream, vs.op.stream = nil, nil
+}
+
+// headStream returns the stream of the first op in line, or nil.
+func (c *client) headStream() *valueStream {
+	if len(c.pipeline) == 0 {
+		return nil
+	}
+	return c.pipeline[0].stream
+}
+
+// afterWrite continues a stream once the client has read half of the window.
+func (c *client) afterWrite() {
+	if c.headStream() != nil && c.conn.Out.Len() <= streamWindowBytes/2 {
+		c.router.loop.ScheduleReceive(c.conn)
+	}
+}
+
+// closeNow closes the client's connection at once.
+func (c *client) closeNow(reason transport.Reason) {
+	c.deregister()
+	c.conn.Close(reason)
+}
