--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -57,9 +57,9 @@
 	for _, op := range sim.ops {
 		hedges += max(0, len(op.pushes)-1)
 	}
-	fmt.Println("copies of 400 ops:", hedges)
+	fmt.Println("hedges for 400 ops:", hedges)
 	// Output:
-	// copies of 400 ops: 9
+	// hedges for 400 ops: 9
 }
 
 // The repeat rules consider all pushes of an op. With one in flight, a deduplicated op may be nacked inside
--- a/internal/routing/client.go
+++ b/internal/routing/client.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// output returns where the op's answer is written: the client's output if the op is next in line, else the
+// output returns where the op's answer is written: the client's output if the op is next in the queue, else the
 // queued reply.
 func (o *op) output() *transport.Chain {
 	if c := o.client; o.state == opOpen && len(c.pipeline) > 0 && c.pipeline[0] == o {
@@ -276,7 +276,7 @@
 		n++
 	}
 	c.pipeline = slices.Delete(c.pipeline, 0, n)
-	if c.headStream() != nil { // the next answer in line is streamed
+	if c.headStream() != nil { // the next answer in the queue is streamed
 		r.loop.ScheduleReceive(c.conn)
 	}
 	if n > 0 {
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -33,7 +33,7 @@
 }
 
 // reserveMemory reports whether the client's input may be read on. For a large value it first reserves memory;
-// if there is too little, the client waits in line, since partly read values could otherwise block each other.
+// if there is too little, the client waits in a queue, since partly read values could otherwise block each other.
 func (c *client) reserveMemory() bool {
 	n := c.decoder.PendingValueBytes()
 	if n <= protocol.MaxBufferedValueBytes || c.reservedBytes > 0 ||
@@ -53,7 +53,7 @@
 	m.admit()
 }
 
-// dequeue removes a client from the waiting line.
+// dequeue removes a client from the queue.
 func (m *memoryBudget) dequeue(c *client) {
 	if !c.awaitsMemory {
 		return
--- a/internal/routing/port.go
+++ b/internal/routing/port.go
@@ -8,8 +8,8 @@
 	"larchthread/internal/transport"
 )
 
-// Push implements balance.Port: it sends a push to its host and gives it up after limit ms. The methods below
-// implement balance.Port too.
+// Push implements balance.Frontend: it sends a push to its host and gives it up after limit ms. The methods below
+// implement balance.Frontend too.
 func (r *Router) Push(b *balance.Push, limit float64) {
 	now := r.loop.Now()
 	p := &push{Push: b, router: r, op: b.Op.Ref.(*op), startedAt: now, expiresAt: now + limit}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,5 +1,5 @@
 // Package routing carries ops between clients and cache hosts. It makes no routing decisions: events on
-// connections become calls on the balancer, and the balancer's calls on its Port become bytes on connections.
+// connections become calls on the balancer, and the balancer's calls on its Frontend become bytes on connections.
 //
 // Everything here runs on the event loop's goroutine, except where a method says otherwise. Times and durations
 // are float64 milliseconds; times are Unix time.
@@ -48,7 +48,7 @@
 	shutdownCloseGrace        = 250.0 // ms between the last client's end and exit, so that sockets close in order
 )
 
-// Router connects one balancer to its clients and hosts. It implements balance.Port.
+// Router connects one balancer to its clients and hosts. It implements balance.Frontend.
 type Router struct {
 	loop            *transport.Loop
 	log             *slog.Logger
--- a/internal/routing/value_stream.go
+++ b/internal/routing/value_stream.go
@@ -38,7 +38,7 @@
 	return &vs.hostConn.conn.In
 }
 
-// advance forwards the available input, up to the window. Nothing is forwarded until the op is next in line.
+// advance forwards the available input, up to the window. Nothing is forwarded until the op is next in the queue.
 func (vs *valueStream) advance() {
 	c, hc := vs.op.client, vs.hostConn
 	if c.pipeline[0] == vs.op {
@@ -121,7 +121,7 @@
 	vs.hostConn.stream, vs.op.stream = nil, nil
 }
 
-// headStream returns the stream of the first op in line, or nil.
+// headStream returns the stream of the first op in the queue, or nil.
 func (c *client) headStream() *valueStream {
 	if len(c.pipeline) == 0 {
 		return nil
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -326,7 +326,7 @@
 // addAction appends an action to the answer of the current line.
 func (d *simulatedBalancer) addAction(a action) { d.actions = append(d.actions, a) }
 
-// Push implements balance.Port, as do the methods below.
+// Push implements balance.Frontend, as do the methods below.
 func (d *simulatedBalancer) Push(p *balance.Push, limit float64) {
 	p.Ref = len(d.pushes[p.Op])
 	d.pushes[p.Op] = append(d.pushes[p.Op], p)
