--- a/internal/feed/simulated_plan_test.go
+++ b/internal/feed/simulated_plan_test.go
@@ -14,13 +14,13 @@
 	return slices.Sorted(maps.Keys(peers))
 }
 
-// fault is a kind of fault.
+// fault is a type of fault.
 type fault int
 
 const (
 	faultConnectionLost fault = iota
 	faultDelay
-	faultParentDead
+	faultRelayDown
 	faultFrozen
 	faultRegionCut
 	faultPublisherRestart
@@ -30,25 +30,25 @@
 
 // step is one fault of a plan.
 type step struct {
-	fault fault
-	at    time.Duration
-	lasts time.Duration
-	// node is the name of the node that is hit, region the region.
+	fault    fault
+	at       time.Duration
+	duration time.Duration
+	// node is the name of the affected node, region the affected region.
 	node   string
 	region int
-	// by is a delay's length.
-	by time.Duration
+	// addedLatency is the latency that faultDelay adds.
+	addedLatency time.Duration
 }
 
-// String tells what happens.
+// String describes the fault.
 func (s step) String() string {
-	end := s.at + s.lasts
+	end := s.at + s.duration
 	switch s.fault {
 	case faultConnectionLost:
 		return fmt.Sprintf("%s: all connections of %s are lost", s.at, s.node)
 	case faultDelay:
-		return fmt.Sprintf("%s to %s: messages between regions take %s more", s.at, end, s.by)
-	case faultParentDead:
+		return fmt.Sprintf("%s to %s: messages between regions take %s more", s.at, end, s.addedLatency)
+	case faultRelayDown:
 		return fmt.Sprintf("%s to %s: %s is dead", s.at, end, s.node)
 	case faultFrozen:
 		return fmt.Sprintf("%s to %s: %s is frozen", s.at, end, s.node)
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s to %s: all are down", s.at, end)
 }
 
-// plan is a fleet, what is published and what goes wrong.
+// plan describes a fleet, the rates of published changes and the faults.
 type plan struct {
 	seed              uint64
 	relays            int
@@ -69,11 +69,11 @@
 	purgesPerSecond   float64
 	settingsPerSecond float64
 	steps             []step
-	// healed is when the last fault has ended.
-	healed time.Duration
+	// faultsEndAt is when the last fault has ended.
+	faultsEndAt time.Duration
 }
 
-// String tells all that is needed to see a plan through.
+// String describes the plan completely.
 func (p plan) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d relays, %d subscribers, window %d, %.1f purges/s, %.2f settings/s\n", p.seed,
@@ -87,17 +87,17 @@
 const (
 	publisherName = "publisher"
 	firstFaultAt  = 3 * time.Second
-	// longCut is the longest that a region is cut off.
+	// longCut is the longest time that a region is cut off.
 	longCut = 2 * time.Minute
-	// designSettingsPerSecond is 1,500 changes of configuration a day.
+	// designSettingsPerSecond is the design rate of 1,500 settings per day.
 	designSettingsPerSecond = 1500.0 / 86400
 )
 
 func relayName(i int) string      { return fmt.Sprintf("relay-%d", i) }
 func subscriberName(i int) string { return fmt.Sprintf("subscriber-%d", i) }
 
-// drawPlan returns the plan of a seed.
-func drawPlan(seed uint64) plan {
+// randomPlan returns the plan of a seed.
+func randomPlan(seed uint64) plan {
 	random := rand.New(rand.NewPCG(seed, 2))
 	p := plan{
 		seed:              seed,
@@ -110,18 +110,18 @@
 	at := firstFaultAt
 	for range 1 + random.IntN(5) {
 		at += time.Duration(random.Int64N(int64(4 * time.Second)))
-		p.steps = append(p.steps, drawStep(random, p, at))
+		p.steps = append(p.steps, randomStep(random, p, at))
 	}
 	for _, step := range p.steps {
-		p.healed = max(p.healed, step.at+step.lasts)
+		p.faultsEndAt = max(p.faultsEndAt, step.at+step.duration)
 	}
 	return p
 }
 
-func drawStep(random *rand.Rand, p plan, at time.Duration) step {
+func randomStep(random *rand.Rand, p plan, at time.Duration) step {
 	s := step{fault: fault(random.IntN(int(faultCount))), at: at}
-	span := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(random.Int64N(int64(most-least)))
+	span := func(shortest, longest time.Duration) time.Duration {
+		return shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 	}
 	names := []string{publisherName}
 	for i := range p.relays {
@@ -134,24 +134,24 @@
 	case faultConnectionLost:
 		s.node = names[random.IntN(len(names))]
 	case faultDelay:
-		s.lasts, s.by = span(time.Second, 10*time.Second), span(50*time.Millisecond, 2*time.Second)
-	case faultParentDead:
-		s.node, s.lasts = relayName(random.IntN(p.relays)), span(100*time.Millisecond, 10*time.Second)
+		s.duration, s.addedLatency = span(time.Second, 10*time.Second), span(50*time.Millisecond, 2*time.Second)
+	case faultRelayDown:
+		s.node, s.duration = relayName(random.IntN(p.relays)), span(100*time.Millisecond, 10*time.Second)
 	case faultFrozen:
-		s.node, s.lasts = names[random.IntN(len(names))], span(200*time.Millisecond, 10*time.Second)
+		s.node, s.duration = names[random.IntN(len(names))], span(200*time.Millisecond, 10*time.Second)
 	case faultRegionCut:
-		s.region, s.lasts = random.IntN(p.relays), span(500*time.Millisecond, 20*time.Second)
-		// At more changes than the design is for, there is more to catch up with than the budget lets through in time.
+		s.region, s.duration = random.IntN(p.relays), span(500*time.Millisecond, 20*time.Second)
+		// Above the design rate, the budget would not suffice to catch up with a longer cut in time.
 		if p.settingsPerSecond <= designSettingsPerSecond && random.IntN(3) == 0 {
-			s.lasts = span(20*time.Second, longCut)
+			s.duration = span(20*time.Second, longCut)
 		}
 	case faultPublisherRestart, faultAllRestart:
-		s.lasts = span(50*time.Millisecond, 5*time.Second)
+		s.duration = span(50*time.Millisecond, 5*time.Second)
 	}
 	return s
 }
 
-// planConfig is the part of the configuration that all nodes of a plan share.
+// planConfig returns the part of the configuration that all nodes of a plan share.
 func planConfig(window int) Config {
 	return Config{
 		Cluster: "simulated",
@@ -163,8 +163,8 @@
 	}
 }
 
-// build returns the simulation of a plan, all nodes started. Region 0 has the publisher; a relay and its share of the
-// subscribers are in each region.
+// build returns the simulation of a plan with all nodes started. The publisher is in region 0; each region has one relay
+// and its share of the subscribers.
 func (p plan) build() *simulation {
 	config := planConfig(p.window)
 	s := newSimulation(p.seed, config)
@@ -190,19 +190,19 @@
 	return s
 }
 
-// enact schedules a step's fault and its end.
-func (s *simulation) enact(step step) {
-	s.at(step.at, func() { s.begin(step) })
-	s.at(step.at+step.lasts, func() { s.end(step) })
+// schedule schedules the start and the end of a step's fault.
+func (s *simulation) schedule(step step) {
+	s.runAt(step.at, func() { s.startFault(step) })
+	s.runAt(step.at+step.duration, func() { s.endFault(step) })
 }
 
-func (s *simulation) begin(step step) {
+func (s *simulation) startFault(step step) {
 	switch step.fault {
 	case faultConnectionLost:
 		s.breakConnections(s.byName[step.node])
 	case faultDelay:
-		s.slowUntil, s.slowBy = step.at+step.lasts, step.by
-	case faultParentDead:
+		s.slowUntil, s.slowBy = step.at+step.duration, step.addedLatency
+	case faultRelayDown:
 		s.kill(s.byName[step.node])
 	case faultFrozen:
 		s.freeze(s.byName[step.node])
@@ -217,13 +217,13 @@
 	}
 }
 
-func (s *simulation) end(step step) {
+func (s *simulation) endFault(step step) {
 	switch step.fault {
 	case faultFrozen:
-		s.wake(s.byName[step.node])
+		s.unfreeze(s.byName[step.node])
 	case faultRegionCut:
 		delete(s.isolated, step.region)
-	case faultParentDead:
+	case faultRelayDown:
 		s.restart(s.byName[step.node])
 	case faultPublisherRestart:
 		s.restart(s.byName[publisherName])
@@ -245,7 +245,7 @@
 	s.start(sn)
 }
 
-// publishUntil schedules publications at random times with a mean rate.
+// publishUntil schedules publications at random intervals with a mean rate.
 func (s *simulation) publishUntil(end time.Duration, kind Kind, perSecond float64) {
 	if perSecond == 0 {
 		return
@@ -254,7 +254,7 @@
 	if s.now+wait > end {
 		return
 	}
-	s.after(wait, func() {
+	s.runAfter(wait, func() {
 		s.publishRandom(kind)
 		s.publishUntil(end, kind, perSecond)
 	})
--- a/internal/trial/inject.go
+++ b/internal/trial/inject.go
@@ -13,114 +13,116 @@
 	"larchthread/internal/standin"
 )
 
-// moment is a fault's beginning or end.
-type moment struct {
+// faultEvent is the beginning or the end of a fault.
+type faultEvent struct {
 	at    time.Duration
 	fault Fault
 	end   bool
 }
 
-// moments are all beginnings and ends in their order: by time, of one time ends first, then as the plan has them. So two
-// faults of one instant are injected in the same order each time.
-func (p Plan) moments() (all []moment) {
-	for _, x := range p.ordered() {
-		all = append(all, moment{x.At.d(), x, false})
-		if x.Duration > 0 {
-			all = append(all, moment{(x.At + x.Duration).d(), x, true})
+// events returns the beginnings and ends of all faults by time. At the same time ends come first, then the order of the plan
+// decides, so that the same plan always injects its faults in the same order.
+func (p Plan) events() (all []faultEvent) {
+	for _, fault := range p.sortedFaults() {
+		all = append(all, faultEvent{fault.At.d(), fault, false})
+		if fault.Duration > 0 {
+			all = append(all, faultEvent{(fault.At + fault.Duration).d(), fault, true})
 		}
 	}
-	slices.SortStableFunc(all, func(x, y moment) int {
-		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(order(x.end), order(y.end)))
+	slices.SortStableFunc(all, func(x, y faultEvent) int {
+		return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(eventOrder(x.end), eventOrder(y.end)))
 	})
 	return all
 }
 
-// order has ends come before beginnings.
-func order(end bool) int {
+// eventOrder sorts ends before beginnings.
+func eventOrder(end bool) int {
 	if end {
 		return 0
 	}
 	return 1
 }
 
-// injectAll injects the plan's faults. Each has its turn, and what takes its time goes on beside the next.
-func (c *Cluster) injectAll(ctx context.Context, began time.Duration) {
-	var slow sync.WaitGroup
-	defer slow.Wait()
-	lanes := map[string]chan struct{}{} // a fault of a process waits for the one before it
-	for _, m := range c.plan.moments() {
+// injectAll injects the plan's faults at their times. Faults of balancers and bans may take long and run concurrently, but
+// those with the same targets run one after another. It returns when all have been injected, or soon after ctx ends.
+func (c *Cluster) injectAll(ctx context.Context, loadStart time.Duration) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	queues := map[string]chan struct{}{} // by targets: closed when their last fault has been injected
+	for _, event := range c.plan.events() {
 		select {
-		case <-time.After(began + m.at - c.fleet.Elapsed()):
+		case <-time.After(loadStart + event.at - c.fleet.Elapsed()):
 		case <-ctx.Done():
 			return
 		}
-		text := m.fault.String()
-		if m.end {
-			text = fmt.Sprintf("%6.2fs end of %s", m.at.Seconds(), strings.TrimSpace(text))
+		text := event.fault.String()
+		if event.end {
+			text = fmt.Sprintf("%6.2fs end of %s", event.at.Seconds(), strings.TrimSpace(text))
 		}
 		c.mu.Lock()
 		c.injected = append(c.injected, text)
 		c.mu.Unlock()
 		c.Logf("%s\n", text)
-		k := kinds[m.fault.Kind]
-		if k.where != balancers && m.fault.Kind != "ban" {
-			c.failed(c.inject(m.fault, m.end, began))
+		k := faultKinds[event.fault.Kind]
+		if k.site != atBalancers && event.fault.Kind != "ban" {
+			c.recordError(c.inject(event.fault, event.end, loadStart))
 			continue
 		}
-		lane := strings.Join(m.fault.Parts, ",")
-		before, done := lanes[lane], make(chan struct{})
-		lanes[lane] = done
-		slow.Add(1)
+		queue := strings.Join(event.fault.Parts, ",")
+		previous, done := queues[queue], make(chan struct{})
+		queues[queue] = done
+		pending.Add(1)
 		go func() {
-			defer slow.Done()
+			defer pending.Done()
 			defer close(done)
-			if before != nil {
-				<-before
+			if previous != nil {
+				<-previous
 			}
-			c.failed(c.inject(m.fault, m.end, began))
+			c.recordError(c.inject(event.fault, event.end, loadStart))
 		}()
 	}
 }
 
-func (c *Cluster) failed(err error) {
+// recordError records a failure of the cluster itself, if err is not nil.
+func (c *Cluster) recordError(err error) {
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.broken = append(c.broken, err)
+		c.errs = append(c.errs, err)
 	}
 }
 
 // inject begins a fault, or ends it.
-func (c *Cluster) inject(x Fault, end bool, began time.Duration) error {
-	of, to, err := x.targets(c.plan.Fleet)
+func (c *Cluster) inject(fault Fault, end bool, loadStart time.Duration) error {
+	of, to, err := fault.targets(c.plan.Fleet)
 	if err != nil {
 		return err
 	}
-	switch kinds[x.Kind].where {
-	case balancers:
-		return each(of, func(name string) error { return c.injectProcessFault(x, name, end) })
-	case hosts, servers:
-		return each(of, func(name string) error { return c.injectServerFault(x, name, end) })
-	case lists:
-		if x.Kind == "silent" {
+	switch faultKinds[fault.Kind].site {
+	case atBalancers:
+		return forEach(of, func(name string) error { return c.injectProcessFault(fault, name, end) })
+	case atHosts, atServers:
+		return forEach(of, func(name string) error { return c.injectServerFault(fault, name, end) })
+	case atDiscovery:
+		if fault.Kind == "silent" {
 			c.fleet.Discovery.SetSilent(!end)
 			return nil
 		}
-		late := time.Duration(0)
-		if ms, err := x.Magnitude.number(); !end && err == nil {
-			late = time.Duration(ms * float64(time.Millisecond))
+		delay := time.Duration(0)
+		if ms, err := fault.Magnitude.number(); !end && err == nil {
+			delay = time.Duration(ms * float64(time.Millisecond))
 		}
-		c.fleet.Discovery.SetDelay(late)
-	case links:
-		return each(of, func(b string) error {
-			return each(to, func(part string) error { c.injectLinkFault(x, c.links[[2]string{b, part}], end); return nil })
+		c.fleet.Discovery.SetDelay(delay)
+	case atLinks:
+		return forEach(of, func(b string) error {
+			return forEach(to, func(part string) error { c.injectLinkFault(fault, c.links[[2]string{b, part}], end); return nil })
 		})
 	}
 	return nil
 }
 
-// each does something for all names, and joins what went wrong.
-func each(names []string, do func(name string) error) error {
+// forEach calls do with each name and joins the errors.
+func forEach(names []string, do func(name string) error) error {
 	var all []error
 	for _, n := range names {
 		all = append(all, do(n))
@@ -128,42 +130,44 @@
 	return errors.Join(all...)
 }
 
-func (c *Cluster) injectProcessFault(x Fault, name string, end bool) error {
-	i := place(name)
+// injectProcessFault begins or ends a fault of one balancer.
+func (c *Cluster) injectProcessFault(fault Fault, name string, end bool) error {
+	i := partIndex(name)
 	p := c.processes[i]
 	switch {
-	case x.Kind == "disk" && end:
-		return p.spoil("disk well")
-	case x.Kind == "disk":
-		return p.spoil("disk " + string(x.Magnitude))
-	case x.Kind == "clock" && end:
-		return p.spoil("clock 0s")
-	case x.Kind == "clock":
-		return p.spoil("clock " + string(x.Magnitude))
-	case x.Kind == "freeze" && end:
+	case fault.Kind == "disk" && end:
+		return p.sendFault("disk well")
+	case fault.Kind == "disk":
+		return p.sendFault("disk " + string(fault.Magnitude))
+	case fault.Kind == "clock" && end:
+		return p.sendFault("clock 0s")
+	case fault.Kind == "clock":
+		return p.sendFault("clock " + string(fault.Magnitude))
+	case fault.Kind == "freeze" && end:
 		return p.Thaw()
 	case end:
-		return c.launch(i, func() error { return c.rewrite(i) })
-	case x.Kind == "kill":
+		return c.launch(i, func() error { return c.rewriteConfig(i) })
+	case fault.Kind == "kill":
 		return p.Kill()
-	case x.Kind == "term":
+	case fault.Kind == "term":
 		return p.Terminate()
-	case x.Kind == "wipe":
+	case fault.Kind == "wipe":
 		return errors.Join(p.Kill(), p.ClearDir())
-	case x.Kind == "freeze":
+	case fault.Kind == "freeze":
 		return p.Freeze()
 	}
-	program := c.Program // upgrade
-	if x.Program != "" {
-		program = x.Program
+	program := c.Program // the fault is an upgrade
+	if fault.Program != "" {
+		program = fault.Program
 	}
-	return p.replace(func() error { return c.rewrite(i) }, program, c.Args...)
+	return p.replace(func() error { return c.rewriteConfig(i) }, program, c.Args...)
 }
 
-func (c *Cluster) injectServerFault(x Fault, name string, end bool) error {
+// injectServerFault begins or ends a fault of one host or of the origin.
+func (c *Cluster) injectServerFault(fault Fault, name string, end bool) error {
 	var mode standin.FaultMode
-	if by, _ := x.Magnitude.number(); !end { // a plan's figures are checked before it is played
-		switch x.Kind {
+	if by, _ := fault.Magnitude.number(); !end { // plans are validated before they run
+		switch fault.Kind {
 		case "hang":
 			mode.Hang = true
 		case "slow":
@@ -180,49 +184,49 @@
 		c.fleet.Origin.SetFaultMode(mode)
 		return nil
 	}
-	h := c.fleet.Hosts()[place(name)]
-	lists := c.fleet.Discovery
-	switch x.Kind {
+	h := c.fleet.Hosts()[partIndex(name)]
+	discovery := c.fleet.Discovery
+	switch fault.Kind {
 	case "die":
 		if !end {
 			h.Kill()
-			return lists.SetPhase(name, standin.Terminated, 0)
+			return discovery.SetPhase(name, standin.Terminated, 0)
 		}
-		return errors.Join(h.Start(), lists.SetPhase(name, standin.InService, c.fleet.Elapsed()))
+		return errors.Join(h.Start(), discovery.SetPhase(name, standin.InService, c.fleet.Elapsed()))
 	case "void":
 		h.Clear()
 	case "drain":
 		if end {
-			return lists.SetPhase(name, standin.InService, 0)
+			return discovery.SetPhase(name, standin.InService, 0)
 		}
-		return lists.SetPhase(name, standin.Terminating, 0)
+		return discovery.SetPhase(name, standin.Terminating, 0)
 	case "remove":
 		if end {
 			h.Kill()
-			return errors.Join(h.Start(), lists.SetPhase(name, standin.InService, c.fleet.Elapsed()))
+			return errors.Join(h.Start(), discovery.SetPhase(name, standin.InService, c.fleet.Elapsed()))
 		}
-		return errors.Join(lists.SetPhase(name, standin.Terminating, 0), lists.SetPhase(name, standin.Terminated, 0))
+		return errors.Join(discovery.SetPhase(name, standin.Terminating, 0), discovery.SetPhase(name, standin.Terminated, 0))
 	case "ban":
-		return each(c.plan.Fleet.balancers(), func(b string) error { return c.ban(b, name, end) })
+		return forEach(c.plan.Fleet.balancers(), func(b string) error { return c.setBan(b, name, end) })
 	default:
 		h.SetFaultMode(mode)
 	}
 	return nil
 }
 
-// ban takes a host out by hand at one balancer, or puts it back. A balancer that is not there can't be told: what it does
-// not know does not bind it.
-func (c *Cluster) ban(balancer, host string, end bool) error {
-	i := place(balancer)
+// setBan enters or exits maintenance of a host at one balancer. A balancer that can't be reached, or refuses, is logged and
+// not recorded: it is not bound by a ban that it does not know.
+func (c *Cluster) setBan(balancer, host string, end bool) error {
+	i := partIndex(balancer)
 	c.mu.Lock()
 	admin := c.admins[i]
 	c.mu.Unlock()
 	path := "/maintenance/enter"
 	if end {
 		path = "/maintenance/exit"
-		c.unban(balancer, host)
+		c.endBan(balancer, host)
 	}
-	status, text, err := call(admin, "POST", path, host)
+	status, text, err := callAdmin(admin, "POST", path, host)
 	if err != nil || status != 200 {
 		c.Logf("        %s %s at %s: %d %s %v\n", path, host, balancer, status, text, err)
 		return nil
@@ -235,7 +239,8 @@
 	return nil
 }
 
-func (c *Cluster) unban(balancer, host string) {
+// endBan marks the open ban of a host at a balancer as ended, if there is one.
+func (c *Cluster) endBan(balancer, host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.bans {
@@ -245,8 +250,9 @@
 	}
 }
 
-func (c *Cluster) injectLinkFault(x Fault, l *Link, end bool) {
-	switch x.Kind {
+// injectLinkFault begins or ends a fault of one link.
+func (c *Cluster) injectLinkFault(fault Fault, l *Link, end bool) {
+	switch fault.Kind {
 	case "cut":
 		l.SetCut(!end)
 		return
@@ -255,8 +261,8 @@
 		return
 	}
 	var f Impairment
-	if by, _ := x.Magnitude.number(); !end {
-		switch x.Kind {
+	if by, _ := fault.Magnitude.number(); !end {
+		switch fault.Kind {
 		case "hole":
 			f.Blackhole = true
 		case "delay":
@@ -268,10 +274,10 @@
 			f.ResetAfter = int(by)
 		}
 	}
-	if x.Direction != "back" {
+	if fault.Direction != "back" {
 		l.SetImpairment(Out, f)
 	}
-	if x.Direction != "out" {
+	if fault.Direction != "out" {
 		l.SetImpairment(Back, f)
 	}
 }
--- a/internal/trial/plan_test.go
+++ b/internal/trial/plan_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// What is wrong with a plan is named with its line.
-func Example_badPlans() {
+// Errors of invalid plans name the line and the field.
+func Example_invalidPlans() {
 	for _, text := range []string{
 		"",
 		"name: [",
@@ -36,23 +36,23 @@
 	// plan: line 1: fleet.balancers: 0, want 1 to 1280
 	// plan: line 1: fleet.hosts: 5000, want 1 to 4096
 	// plan: line 2: load.for: 0s, want above 0, at most 10m0s
-	// plan: line 2: an alias; write out what it stands for
+	// plan: line 2: aliases are not allowed; write out the value
 	// plan: line 1: field hots not found
 	// plan: line 1: "soon", want a time such as 1.5s or 200ms
-	// plan: line 1: load.shares: no category "reed"; there are read, put, once
+	// plan: line 1: load.shares: unknown category "reed", want one of read, put, once
 	// plan: line 3: kill: of: "b4" is none of b1, b2, b3
 	// plan: line 4: what: "explode", want one of ban, clock, cut, delay, die, disk, drain, errors, freeze, hang, hole, kill, late, rate, remove, resets, sever, silent, single, slow, table, term, upgrade, void, wipe
 	// plan: line 5: hang: for: missing
 	// plan: line 6: cut: to: "h9" is none of h1, h2, h3, h4, h5, h6, origin, discovery
-	// plan: line 6: cut: ends at 6s, after the load, which lasts 5s
-	// plan: line 7: slow: way: "up", want out, back or both, and that of links
+	// plan: line 6: cut: ends at 6s, after the load, which ends at 5s
+	// plan: line 7: slow: way: "up", want out, back or both, and only for links
 	// plan: line 7: slow: by: "0.5", want a factor above 1, at most 1000
 	// plan: line 8: cut: to: missing
-	// plan: line 8: cut: applies to links, which from and to name
+	// plan: line 8: cut: applies to links, given in from and to
 }
 
-// What a plan leaves out is as usual; zones and all stand for their parts.
-func Example_plan() {
+// Omitted fields have their defaults, and zones and "all" are resolved to their parts.
+func Example_planDefaults() {
 	p, err := ParsePlan([]byte(`
 name: two at one instant
 load: {for: 3s, rate: 50}
@@ -62,8 +62,8 @@
 - {at: 1s, what: void, of: [all]}
 `))
 	fmt.Println(err)
-	for _, m := range p.moments() {
-		fmt.Println(m.end, m.fault)
+	for _, event := range p.events() {
+		fmt.Println(event.end, event.fault)
 	}
 	of, to, err := p.Faults[0].targets(p.Fleet)
 	fmt.Println(of, to, err)
@@ -77,8 +77,8 @@
 	// [b1 b3] [h2 h4 h6 discovery] <nil>
 }
 
-// A drawn plan's text reads as the plan that it was, and its faults are injected in the same order; each has two faults at once.
-func TestDrawnPlansPlayAgain(t *testing.T) {
+// The text of a random plan must parse to the same plan with the same order of events, and its faults must overlap.
+func TestRandomPlansRoundTrip(t *testing.T) {
 	for seed := range uint64(300) {
 		p := RandomPlan(seed)
 		again, err := ParsePlan([]byte(p.String()))
@@ -91,18 +91,19 @@
 		if !reflect.DeepEqual(p, again) {
 			t.Fatalf("seed %d: printed and read\n%s\nis\n%s", seed, p, again)
 		}
-		if !reflect.DeepEqual(p.moments(), again.moments()) || !reflect.DeepEqual(p, RandomPlan(seed)) {
-			t.Fatalf("seed %d: another order", seed)
+		if !reflect.DeepEqual(p.events(), again.events()) || !reflect.DeepEqual(p, RandomPlan(seed)) {
+			t.Fatalf("seed %d: the order of events differs", seed)
 		}
 		half := p.Load.Duration / 2
 		for _, x := range p.Faults {
-			if x.At > half || !kinds[x.Kind].instant && x.At+x.Duration < half {
+			if x.At > half || !faultKinds[x.Kind].instant && x.At+x.Duration < half {
 				t.Fatalf("seed %d: %v does not overlap the others", seed, x)
 			}
 		}
 	}
 }
 
+// Any plan that parses must parse again from its printed text.
 func FuzzRead(f *testing.F) {
 	f.Add(RandomPlan(1).String())
 	f.Add("faults: [{what: kill}]")
@@ -118,7 +119,7 @@
 	})
 }
 
-// A plan that fails whenever b2 is killed while h3 hangs shrinks to these two faults, on the least fleet that has both parts.
+// A plan that fails whenever b2 is killed and h3 hangs must shrink to these two faults on the smallest fleet with both parts.
 func TestShrink(t *testing.T) {
 	p := DefaultPlan()
 	for _, x := range []Fault{
