--- a/balance/cycle.go
+++ b/balance/cycle.go
@@ -22,6 +22,7 @@
 	ordinal   int32 // the point is active while the host has more than this many active points
 }
 
+// comparePointHash orders a point relative to a hash as cmp.Compare does, for a binary search.
 func comparePointHash(p point, hash uint64) int { return cmp.Compare(p.hash, hash) }
 
 // search returns the index of the first point at or after hash, or len(c.points).
--- a/balance/learned.go
+++ b/balance/learned.go
@@ -43,6 +43,7 @@
 	return l
 }
 
+// snapshot returns the limiter's learned state, as restore takes it.
 func (lim *limiter) snapshot() LimiterState {
 	return LimiterState{lim.limit, lim.congestion, lim.avgLatency, lim.latencyDev}
 }
@@ -69,6 +70,7 @@
 	b.countEjected()
 }
 
+// restore sets the learned state, the limit at least minLimit. It ignores s if s.Limit is not above 0.
 func (lim *limiter) restore(s LimiterState) {
 	if s.Limit > 0 {
 		lim.limit, lim.congestion, lim.avgLatency, lim.latencyDev =
--- a/balance/numeric.go
+++ b/balance/numeric.go
@@ -34,4 +34,5 @@
 // hashFraction maps a hash uniformly to [0, 1), independently of its place on the cycle.
 func hashFraction(hash uint64) float64 { return float64(hash*fractionMultiplier>>11) / (1 << 53) }
 
+// clamp returns x limited to the range from least to most.
 func clamp(x, least, most float64) float64 { return math.Min(math.Max(x, least), most) }
--- a/internal/feed/codec_fields.go
+++ b/internal/feed/codec_fields.go
@@ -8,6 +8,7 @@
 // maxAgeMilliseconds is the largest age other than AgeUnknown that fits a time.Duration.
 const maxAgeMilliseconds = uint64(math.MaxInt64/int64(time.Millisecond)) - 1
 
+// encodeFields appends the fields of a message to the encoder's buffer, in the format that decodeFields reads.
 func encodeFields(e *encoder, message Message) {
 	switch m := message.(type) {
 	case Hello:
@@ -152,6 +153,7 @@
 	e.buffer = append(e.buffer, value...)
 }
 
+// field reads a value whose length is given by common (see commonLength) or, if common is zero, precedes the value.
 func (d *decoder) field(common uint64) []byte {
 	if common == 0 {
 		return d.bytes()
@@ -261,12 +263,14 @@
 	e.positionDelta(from, to)
 }
 
+// span reads a kind and two of its positions. It fails if the second one is not later than the first.
 func (d *decoder) span() (Kind, Position, Position) {
 	kind := Kind(d.octet())
 	from := d.position()
 	return kind, from, d.positionDelta(from)
 }
 
+// positions writes the number of positions, then each of them.
 func (e *encoder) positions(positions []Position) {
 	e.uvarint(uint64(len(positions)))
 	for _, position := range positions {
@@ -274,6 +278,7 @@
 	}
 }
 
+// positions reads a list of positions. It fails if there are more than maxKinds.
 func (d *decoder) positions() []Position {
 	const minPositionBits = 2 * 8
 	count := d.count(minPositionBits)
@@ -301,6 +306,7 @@
 	e.uvarint(milliseconds + 1)
 }
 
+// age reads an age in whole milliseconds, or AgeUnknown. It fails if the age exceeds maxAgeMilliseconds.
 func (d *decoder) age() time.Duration {
 	value := d.uvarint()
 	if value == 0 {
--- a/internal/feed/config.go
+++ b/internal/feed/config.go
@@ -130,6 +130,7 @@
 	return c
 }
 
+// setDefault sets a field to value if it is zero.
 func setDefault[T int | time.Duration](field *T, value T) {
 	if *field == 0 {
 		*field = value
@@ -166,6 +167,7 @@
 	return &ConfigError{Field: field, Problem: fmt.Sprintf(format, arguments...)}
 }
 
+// checkIdentity returns a *ConfigError if the cluster, the ID, the role or the epoch is invalid, or nil.
 func checkIdentity(c Config) error {
 	switch {
 	case c.Cluster == "" || len(c.Cluster) > maxNameLength:
@@ -182,6 +184,7 @@
 	return nil
 }
 
+// checkParents returns a *ConfigError if the parents don't suit the role, or one is empty or given twice, or nil.
 func checkParents(c Config) error {
 	if c.Role == Publisher && len(c.Parents) > 0 {
 		return newConfigError("Parents", "a publisher has no parents")
@@ -199,6 +202,7 @@
 	return nil
 }
 
+// checkTimes returns a *ConfigError if a duration is below 1 ms or too short compared with another one, or nil.
 func checkTimes(c Config) error {
 	durations := []struct {
 		field string
@@ -225,6 +229,7 @@
 	return nil
 }
 
+// checkBudgets returns a *ConfigError if MaxChildren, CoarseAfter or a budget of bytes is too low, or nil.
 func checkBudgets(c Config) error {
 	switch {
 	case c.MaxChildren < 1:
@@ -243,6 +248,7 @@
 	return nil
 }
 
+// checkKinds returns a *ConfigError if the number of kinds or a kind's name, window or MaxValue is invalid, or nil.
 func checkKinds(c Config) error {
 	if len(c.Kinds) == 0 || len(c.Kinds) > maxKinds {
 		return newConfigError("Kinds", "has to name 1 to %d kinds", maxKinds)
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -229,6 +229,7 @@
 	return changes
 }
 
+// positions returns the latest position of each kind, in the order of Config.Kinds.
 func (n *Node) positions() []Position {
 	positions := make([]Position, len(n.kinds))
 	for i := range n.kinds {
@@ -250,6 +251,7 @@
 	n.output.Close = append(n.output.Close, peer)
 }
 
+// emit adds an event to the output.
 func (n *Node) emit(event Event) {
 	n.output.Events = append(n.output.Events, event)
 }
--- a/internal/feed/parent.go
+++ b/internal/feed/parent.go
@@ -216,6 +216,7 @@
 	n.closePeer(link.peer)
 }
 
+// removeLink removes a link as parent, with its timers, or as candidate. It neither closes the connection nor dials another.
 func (n *Node) removeLink(link *link) {
 	u := &n.upstream
 	if u.parent == link {
--- a/internal/feed/rice.go
+++ b/internal/feed/rice.go
@@ -74,6 +74,7 @@
 	pendingBits int
 }
 
+// bit appends the lowest bit of value.
 func (w *bitWriter) bit(value uint64) {
 	w.pending = w.pending<<1 | uint8(value&1)
 	w.pendingBits++
@@ -114,6 +115,7 @@
 	failed bool
 }
 
+// bit returns the next bit. At the end of the data it returns 0 and sets failed.
 func (r *bitReader) bit() uint64 {
 	if r.next >= len(r.data)*8 {
 		r.failed = true
@@ -124,6 +126,7 @@
 	return uint64(value)
 }
 
+// unary returns the number of one bits up to the next zero bit or the end of the data, and reads the zero bit too.
 func (r *bitReader) unary() uint64 {
 	value := uint64(0)
 	for r.bit() == 1 {
@@ -132,6 +135,7 @@
 	return value
 }
 
+// binary reads a number of count bits, the most significant one first.
 func (r *bitReader) binary(count int) uint64 {
 	value := uint64(0)
 	for range count {
--- a/internal/scale/instance.go
+++ b/internal/scale/instance.go
@@ -5,7 +5,7 @@
 	"larchthread/internal/timerqueue"
 )
 
-// balancerInstance is one balancer of a simulation: the real balancer module, with the simulation as its port.
+// balancerInstance is one balancer of a simulation: the real balancer module, with the simulation as its front end.
 type balancerInstance struct {
 	timerqueue.Timer // the timer that the balancer module sets
 	simulation       *simulation
@@ -35,7 +35,7 @@
 	reported     bool    // the balancer has been told the outcome
 }
 
-// Push implements balance.Port, as do the methods below.
+// Push implements balance.Frontend, as do the methods below.
 func (i *balancerInstance) Push(p *balance.Push, limit float64) { i.simulation.sendPush(i, p, limit) }
 
 // Cancel cancels a push for the balancer. The server completes it all the same.
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -220,7 +220,7 @@
 	for i, zone := range settings.Zones {
 		reader.zones[zone] = i
 	}
-	reader.balancer = balance.New(config, noopPort{}, 0)
+	reader.balancer = balance.New(config, noopFrontend{}, 0)
 	return reader, nil
 }
 
@@ -256,13 +256,13 @@
 var statusByPhase = map[protocol.Phase]balance.Status{protocol.InService: balance.Ready, protocol.Terminating: balance.Draining,
 	protocol.Terminated: balance.Gone}
 
-// noopPort is the port of a balancer that receives no requests.
-type noopPort struct{}
+// noopFrontend is the front end of a balancer that receives no requests.
+type noopFrontend struct{}
 
-func (noopPort) Push(*balance.Push, float64)  {}
-func (noopPort) Cancel(*balance.Push)         {}
-func (noopPort) Nack(*balance.Op, float64)    {}
-func (noopPort) DeadLetter(*balance.Op)       {}
-func (noopPort) SetTimer(float64)             {}
-func (noopPort) SubscribeHostList()           {}
-func (noopPort) CloseIdleConns(*balance.Host) {}
+func (noopFrontend) Push(*balance.Push, float64)  {}
+func (noopFrontend) Cancel(*balance.Push)         {}
+func (noopFrontend) Nack(*balance.Op, float64)    {}
+func (noopFrontend) DeadLetter(*balance.Op)       {}
+func (noopFrontend) SetTimer(float64)             {}
+func (noopFrontend) SubscribeHostList()           {}
+func (noopFrontend) CloseIdleConns(*balance.Host) {}
